--- a/Makefile
+++ b/Makefile
@@ -15,27 +15,27 @@
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
 
 run: build
-	GW_CONFIG=$(CONFIG) target/release/linnetdeal
+	GW_CONFIG=$(CONFIG) target/release/pooler
 
 ci:
 	bash .ci/run
 
 # The lab: stand-ins, scripts and proofs. None of it is part of CI.
 lab:
-	cargo build --locked --release -p linnetdeal -p linnetdeal-lab
+	cargo build --locked --release -p pooler -p pooler-testbed
 
 # Plays all scripts of a registry that lags, lies and vanishes; the last line is one JSON object.
 proof-eureka: lab
-	target/release/linnetdeal-lab eureka
+	target/release/pooler-testbed eureka
 
 # Time and memory of a whole list and of a delta, at 200, 2,000 and 20,000 instances.
 bench-eureka: lab
-	target/release/linnetdeal-lab eureka-bench
+	target/release/pooler-testbed eureka-bench
 
 # A primary that dies at each step of a write, in each way, and hands over by plan; the last line is one JSON object.
 proof-primary: lab
-	target/release/linnetdeal-lab primary
+	target/release/pooler-testbed primary
 
 # A registry, boxes, a pooler and a client on loopback, to look at. Ends on Ctrl-C or after DEMO_S seconds.
 demo: lab
-	target/release/linnetdeal-lab demo --seconds $(or $(DEMO_S),0)
+	target/release/pooler-testbed demo --seconds $(or $(DEMO_S),0)
--- a/crates/transport/tests/interrupted.rs
+++ b/crates/interrupted-io/tests/interrupted.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::block_on;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use linnetdeal_transport::Resuming;
+use pooler_interrupted_io::Resuming;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::task::{Context, Poll};
--- a/crates/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -11,7 +11,7 @@
     LogFormat, LogSettings, Metadata, Network, Operator, Own, ReadWhat, RegistrySettings, Server, User,
 };
 
-/// The schema, for people to read and for `linnetdeal check --schema`.
+/// The schema, for people to read and for `pooler check --schema`.
 pub const SCHEMA: &str = include_str!("schema.cue");
 
 /// A file longer than this is not read.
--- a/crates/operator/src/schema.cue
+++ b/crates/operator-config/src/schema.cue
@@ -1,5 +1,5 @@
 // What may stand in an operator's file. Records are closed: a field that is not named here is an error.
-package linnetdeal
+package pooler
 
 // A length of time with its unit.
 #Duration: =~"^[1-9][0-9]{0,8}(ms|s|m|h)$"
--- a/crates/operator/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,12 +1,12 @@
 //! Files that are good, and files that are not: each fault with its place.
 
-use linnetdeal_operator::{Operator, ReadWhat};
+use pooler_operator_config::{Operator, ReadWhat};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
 const GOOD: &str = r#"
-package linnetdeal
+package pooler
 
 // A registry beside the platform's list.
 registry: {
--- a/crates/daemon/src/logging.rs
+++ b/crates/pooler/src/logging.rs
@@ -1,6 +1,6 @@
 //! Log lines on standard error: text, or one JSON object a line.
 
-use linnetdeal_operator::{LogFormat, LogSettings};
+use pooler_operator_config::{LogFormat, LogSettings};
 use std::io::{self, Write};
 use tracing::Level;
 
--- a/crates/daemon/src/main.rs
+++ b/crates/pooler/src/main.rs
@@ -5,9 +5,9 @@
 mod registry;
 
 use clap::{Args, Parser, Subcommand};
-use linnetdeal_net::Pooler;
-use linnetdeal_net::config::Config;
-use linnetdeal_operator::Operator;
+use pooler_operator_config::Operator;
+use pooler_proxy::Pooler;
+use pooler_proxy::config::Config;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -16,7 +16,7 @@
 
 /// A pooler that routes reads and writes over a primary and its replicas.
 #[derive(Parser)]
-#[command(name = "linnetdeal", version, args_conflicts_with_subcommands = true)]
+#[command(name = "pooler", version, args_conflicts_with_subcommands = true)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -66,7 +66,7 @@
         None => run(cli.run),
         Some(Command::Run(files)) => run(files),
         Some(Command::Check { schema: true, .. }) => {
-            print!("{}", linnetdeal_operator::SCHEMA);
+            print!("{}", pooler_operator_config::SCHEMA);
             Ok(())
         }
         Some(Command::Check { file, config, .. }) => check(file, config),
@@ -92,11 +92,11 @@
 impl End {
     /// Something in a file is wrong.
     fn config(error: impl std::fmt::Display) -> Self {
-        Self { code: BAD_CONFIG, words: format!("linnetdeal: {error}") }
+        Self { code: BAD_CONFIG, words: format!("pooler: {error}") }
     }
 
     fn other(error: impl std::fmt::Display) -> Self {
-        Self { code: 1, words: format!("linnetdeal: {error}") }
+        Self { code: 1, words: format!("pooler: {error}") }
     }
 }
 
--- a/crates/daemon/src/members.rs
+++ b/crates/pooler/src/members.rs
@@ -1,10 +1,10 @@
-//! `linnetdeal members`: whom a pooler with this operator's file would believe to be a member now.
+//! `pooler members`: whom a pooler with this operator's file would believe to be a member now.
 
 use crate::{End, registry};
-use linnetdeal_core::membership::{Membership, News, SourceId, Taken};
-use linnetdeal_core::{ListState, Span, Time};
-use linnetdeal_operator::Operator;
-use linnetdeal_registry::follow::{Counters, Follower, Sink};
+use pooler_operator_config::Operator;
+use pooler_routing::membership::{Membership, News, SourceId, Taken};
+use pooler_routing::{ListState, Span, Time};
+use pooler_service_registry::follow::{Counters, Follower, Sink};
 use serde_json::json;
 use std::cell::RefCell;
 use std::fmt;
--- a/crates/daemon/src/registry.rs
+++ b/crates/pooler/src/registry.rs
@@ -1,15 +1,15 @@
 //! A registry beside the pooler: from the operator's file to what follows it.
 
-use linnetdeal_core::membership::{Doubt, News, Taken};
-use linnetdeal_core::{ListState, Span, Time};
-use linnetdeal_net::Pooler;
-use linnetdeal_net::members::{Feed, REGISTRY};
-use linnetdeal_operator::{ReadWhat, RegistrySettings};
-use linnetdeal_registry::client::{Access, Client, Server, SetupError};
-use linnetdeal_registry::eureka::mapping::{Lifts, Mapping, Networks};
-use linnetdeal_registry::eureka::model::Status;
-use linnetdeal_registry::eureka::poller::Pace;
-use linnetdeal_registry::follow::{Counters, Follower, Life, Own, Registrar, Registry, Sink};
+use pooler_operator_config::{ReadWhat, RegistrySettings};
+use pooler_proxy::Pooler;
+use pooler_proxy::members::{Feed, REGISTRY};
+use pooler_routing::membership::{Doubt, News, Taken};
+use pooler_routing::{ListState, Span, Time};
+use pooler_service_registry::client::{Access, Client, Server, SetupError};
+use pooler_service_registry::eureka::mapping::{Lifts, Mapping, Networks};
+use pooler_service_registry::eureka::model::Status;
+use pooler_service_registry::eureka::poller::Pace;
+use pooler_service_registry::follow::{Counters, Follower, Life, Own, Registrar, Registry, Sink};
 use std::fmt;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/pooler/tests/crossings.rs
@@ -2,8 +2,8 @@
 
 mod peers;
 
-use linnetdeal_net::pg::write;
 use peers::*;
+use pooler_proxy::pg::write;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Mutex;
--- a/crates/daemon/tests/peers/mod.rs
+++ b/crates/pooler/tests/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted peers on loopback sockets: servers, discovery and clients round the built pooler.
 #![allow(dead_code)]
 
-use linnetdeal_net::pg::{self, write};
+use pooler_proxy::pg::{self, write};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -307,13 +307,13 @@
     file: std::path::PathBuf,
 }
 
-/// Starts the pooler on what `config` holds: the built one, or the program that `LINNETDEAL` names.
+/// Starts the pooler on what `config` holds: the built one, or the program that `POOLER_PROGRAM` names.
 pub fn start(config: &str) -> (Child, std::path::PathBuf) {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let file = std::env::temp_dir().join(format!("linnetdeal-{}-{number}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!("pooler-{}-{number}.json", std::process::id()));
     std::fs::write(&file, config).unwrap();
-    let program = std::env::var("LINNETDEAL").unwrap_or(env!("CARGO_BIN_EXE_linnetdeal").to_owned());
+    let program = std::env::var("POOLER_PROGRAM").unwrap_or(env!("CARGO_BIN_EXE_pooler").to_owned());
     let mut command = Command::new(program);
     (command.env("GW_CONFIG", &file).stderr(Stdio::piped()).spawn().unwrap(), file)
 }
--- a/crates/daemon/tests/registry.rs
+++ b/crates/pooler/tests/registry.rs
@@ -1,18 +1,18 @@
 //! Stories of the pooler beside a registry, against stand-ins. Nothing here rests on how fast something is: a step is
 //! over when the registry has been asked again, since the pooler asks only after it has taken in the answer before.
 
-use linnetdeal_lab::clients::Client;
-use linnetdeal_lab::eureka::{Manner, Peer};
-use linnetdeal_lab::lock;
-use linnetdeal_lab::play::{Stage, wait};
-use linnetdeal_lab::pooler::Pooler;
-use linnetdeal_lab::script::Act;
+use pooler_testbed::clients::Client;
+use pooler_testbed::eureka::{Manner, Peer};
+use pooler_testbed::lock;
+use pooler_testbed::play::{Stage, wait};
+use pooler_testbed::pooler::Pooler;
+use pooler_testbed::script::Act;
 use serde_json::{Value, json};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_linnetdeal");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_pooler");
 const READ: usize = 2;
 
 struct Story {
@@ -182,7 +182,7 @@
 
 impl Held {
     fn new(name: &str, text: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("linnetdeal-test-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("pooler-test-{}-{name}", std::process::id()));
         std::fs::write(&path, text).unwrap();
         Self(path)
     }
--- a/crates/daemon/tests/soak.rs
+++ b/crates/pooler/tests/soak.rs
@@ -6,9 +6,9 @@
 
 mod peers;
 
-use linnetdeal_net::pg::write;
-use linnetdeal_net::shutdown::Schedule;
 use peers::*;
+use pooler_proxy::pg::write;
+use pooler_proxy::shutdown::Schedule;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::Write;
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/pooler/tests/sockets.rs
@@ -1,8 +1,8 @@
 //! Stories of the pooler on real sockets, against scripted peers: one for each thing that went wrong or must not.
 
 mod peers;
-use linnetdeal_net::pg::write;
 use peers::*;
+use pooler_proxy::pg::write;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
--- a/crates/net/src/buffer.rs
+++ b/crates/proxy/src/buffer.rs
@@ -2,7 +2,7 @@
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use linnetdeal_transport::Resuming;
+use pooler_interrupted_io::Resuming;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read};
--- a/crates/net/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -11,7 +11,7 @@
 use super::upstream::{Reply, Statement};
 use async_io::{Async, Timer};
 use futures_lite::future::{or, yield_now};
-use linnetdeal_core::*;
+use pooler_routing::*;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io;
 use std::net::{Shutdown, TcpStream};
--- a/crates/net/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of the sockets: Unix time in microseconds, read once and carried on by the steady clock, so that
 //! it never runs backwards.
 
-use linnetdeal_core::{Span, Time};
+use pooler_routing::{Span, Time};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Unix time that only moves forward.
--- a/crates/net/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,9 +2,9 @@
 //! Keys that mean nothing here are ignored.
 
 use crate::startup::retried;
-use linnetdeal_core::membership::{Claim, Evidence, News};
-use linnetdeal_core::settings::{Pairs, span};
-use linnetdeal_core::*;
+use pooler_routing::membership::{Claim, Evidence, News};
+use pooler_routing::settings::{Pairs, span};
+use pooler_routing::*;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/crates/net/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the pooler took in, sent and answered.
 
-use linnetdeal_core::Verdict;
+use pooler_routing::Verdict;
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::rc::Rc;
--- a/crates/net/src/doubts.rs
+++ b/crates/proxy/src/doubts.rs
@@ -1,7 +1,7 @@
 //! Writes whose outcome nobody knows: all of it was sent, no answer came, and it must not be sent again. Their clients are
 //! told "failed"; operators find them here, by the clients' ids, to look them up where they would have run.
 
-use linnetdeal_core::{MemberId, Time};
+use pooler_routing::{MemberId, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::fmt;
--- a/crates/net/src/frontend.rs
+++ b/crates/proxy/src/frontend.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future::{or, poll_once, yield_now};
-use linnetdeal_core::*;
+use pooler_routing::*;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::io;
--- a/crates/net/src/members.rs
+++ b/crates/proxy/src/members.rs
@@ -1,8 +1,8 @@
 //! Who the members are at this moment, by all sources that there are, and the way in for what these tell.
 
 use crate::driver::Driver;
-use linnetdeal_core::membership::{Doubt, Known, Membership, News, SourceId, Taken};
-use linnetdeal_core::*;
+use pooler_routing::membership::{Doubt, Known, Membership, News, SourceId, Taken};
+use pooler_routing::*;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/net/src/pg/backend.rs
+++ b/crates/proxy/src/pg/backend.rs
@@ -1,7 +1,7 @@
 //! What a server sends.
 
 use super::{LONGEST_VALUE, Message, PgError, bounded, text};
-use linnetdeal_core::{Field, Note, Role, Time};
+use pooler_routing::{Field, Note, Role, Time};
 
 /// No position of a log is a Unix time in seconds beyond this.
 const LATEST_POSITION: f64 = 1e11;
--- a/crates/net/src/probes.rs
+++ b/crates/proxy/src/probes.rs
@@ -4,7 +4,7 @@
 use crate::upstream::Pool;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
-use linnetdeal_core::{Event, MemberId};
+use pooler_routing::{Event, MemberId};
 use std::rc::Rc;
 
 /// Carries out the probes that are asked for. Runs as long as the module does.
--- a/crates/net/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -4,7 +4,7 @@
 use super::driver::{Driver, Order};
 use crate::config::duration;
 use futures_lite::future::{or, poll_fn};
-use linnetdeal_core::*;
+use pooler_routing::*;
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::{Pin, pin};
--- a/crates/net/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -10,7 +10,7 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::or;
-use linnetdeal_core::*;
+use pooler_routing::*;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io;
--- a/crates/net/tests/parsers.rs
+++ b/crates/proxy/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! The parsers on anything at all: no panic, and no message before its last byte is there.
 
-use linnetdeal_core::Field;
-use linnetdeal_net::{http, pg};
+use pooler_proxy::{http, pg};
+use pooler_routing::Field;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/core/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decisions of linnetdeal, a pooler that routes reads and writes over replicated databases.
+//! The decisions of pooler, a pooler that routes reads and writes over replicated databases.
 //!
 //! [`Router`] is a pure state machine: the host feeds it [`Event`]s with the time at which they happened and carries
 //! out the [`Action`]s that it appends. [`membership`] settles who the members are by what several sources say. Nothing
 //! here performs I/O, reads a clock or starts a thread; the same events give the same actions.
 //!
-//! The hosts are the packages `linnetdeal-net`, on real sockets, and `linnetdeal-simhost`, with one decoder of the
+//! The hosts are the packages `pooler-proxy`, on real sockets, and `simulator-adapter`, with one decoder of the
 //! [`settings`]. The README shows how they fit and an example, which is tested with the documentation.
 
 #[cfg(doctest)]
--- a/crates/core/tests/clock.rs
+++ b/crates/routing/tests/clock.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use linnetdeal_core::*;
+use pooler_routing::*;
 
 const HOUR: i64 = 3_600_000;
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small host for the module's tests: plain settings, and a router with its clock.
 #![allow(dead_code)]
 
-use linnetdeal_core::*;
+use pooler_routing::*;
 use std::sync::Arc;
 
 pub const READ: ClassId = ClassId(0);
--- a/crates/core/tests/handover.rs
+++ b/crates/routing/tests/handover.rs
@@ -1,7 +1,7 @@
 //! The search for a new primary: whom it asks, how often, and what it costs the members.
 
-use linnetdeal_core::handover::{Candidate, Seek};
-use linnetdeal_core::*;
+use pooler_routing::handover::{Candidate, Seek};
+use pooler_routing::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::sync::Arc;
--- a/crates/core/tests/mechanism.rs
+++ b/crates/routing/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linnetdeal_core::*;
+use pooler_routing::*;
 use std::collections::BTreeMap;
 
 #[test]
--- a/crates/core/tests/membership.rs
+++ b/crates/routing/tests/membership.rs
@@ -1,7 +1,7 @@
 //! The membership's ordering table, cell by cell, and what must hold under any order of news.
 
-use linnetdeal_core::membership::*;
-use linnetdeal_core::*;
+use pooler_routing::membership::*;
+use pooler_routing::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/crates/core/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linnetdeal_core::*;
+use pooler_routing::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
--- a/crates/core/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linnetdeal_core::*;
+use pooler_routing::*;
 
 /// A router that has member 1 shown as primary of three.
 fn with_primary(settings: Settings) -> Host {
--- a/crates/core/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use linnetdeal_core::*;
+use pooler_routing::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
--- a/crates/registry/src/eureka/lease.rs
+++ b/crates/service-registry/src/eureka/lease.rs
@@ -2,7 +2,7 @@
 //! nothing: what is due is tried, and tried again later. No I/O, no clock.
 
 use super::model::Status;
-use linnetdeal_core::{Span, Time};
+use pooler_routing::{Span, Time};
 
 /// A step that failed is tried again after this.
 const AGAIN: Span = Span::millis(1_000);
--- a/crates/registry/src/eureka/mapping.rs
+++ b/crates/service-registry/src/eureka/mapping.rs
@@ -3,8 +3,8 @@
 
 use super::model::{ActionType, Instance, Status};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use linnetdeal_core::membership::{Claim, Evidence};
-use linnetdeal_core::{GroupId, ListState, MemberId, Time};
+use pooler_routing::membership::{Claim, Evidence};
+use pooler_routing::{GroupId, ListState, MemberId, Time};
 use prefix_trie::PrefixMap;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/registry/src/eureka/poller.rs
+++ b/crates/service-registry/src/eureka/poller.rs
@@ -1,7 +1,7 @@
 //! When to ask which server of a registry for what: deltas while these add up, a whole list where they don't, another
 //! server when one fails, and less and less often while all do. No I/O, no clock.
 
-use linnetdeal_core::{Span, Time};
+use pooler_routing::{Span, Time};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
--- a/crates/registry/src/eureka/reading.rs
+++ b/crates/service-registry/src/eureka/reading.rs
@@ -5,8 +5,8 @@
 use super::mirror::{Mirror, Noted};
 use super::model::{Instance, ModelError};
 use super::poller::Ask;
-use linnetdeal_core::ListState;
-use linnetdeal_core::membership::{Claim, Evidence, News};
+use pooler_routing::ListState;
+use pooler_routing::membership::{Claim, Evidence, News};
 use std::sync::Arc;
 
 /// No more instances than this are taken from one body, so that the smallest ones a body can hold don't fill the memory.
@@ -161,7 +161,7 @@
                 self.name(format!("instance '{}': {refused}", instance.id));
                 let stamp = instance.dirty_ms.saturating_mul(2).saturating_add(1);
                 self.claims.push(Claim {
-                    member: linnetdeal_core::MemberId(Arc::from(instance.id.as_str())),
+                    member: pooler_routing::MemberId(Arc::from(instance.id.as_str())),
                     address: None,
                     group: None,
                     zone: String::new(),
--- a/crates/registry/tests/bodies.rs
+++ b/crates/service-registry/tests/bodies.rs
@@ -1,13 +1,13 @@
 //! Bodies as registries write them, cut anywhere; and bodies that are none.
 
-use linnetdeal_core::ListState;
-use linnetdeal_core::membership::News;
-use linnetdeal_registry::eureka::body::{Body, BodyError, Format};
-use linnetdeal_registry::eureka::mapping::{Mapping, Networks, Refused};
-use linnetdeal_registry::eureka::mirror::Mirror;
-use linnetdeal_registry::eureka::model::{Instance, Status};
-use linnetdeal_registry::eureka::poller::Ask;
-use linnetdeal_registry::eureka::reading::{Read, Reading};
+use pooler_routing::ListState;
+use pooler_routing::membership::News;
+use pooler_service_registry::eureka::body::{Body, BodyError, Format};
+use pooler_service_registry::eureka::mapping::{Mapping, Networks, Refused};
+use pooler_service_registry::eureka::mirror::Mirror;
+use pooler_service_registry::eureka::model::{Instance, Status};
+use pooler_service_registry::eureka::poller::Ask;
+use pooler_service_registry::eureka::reading::{Read, Reading};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/registry/tests/client.rs
+++ b/crates/service-registry/tests/client.rs
@@ -5,8 +5,8 @@
 use futures_rustls::TlsAcceptor;
 use futures_rustls::rustls::server::WebPkiClientVerifier;
 use futures_rustls::rustls::{RootCertStore, ServerConfig};
-use linnetdeal_core::Span;
-use linnetdeal_registry::client::{Access, Call, CallError, Chunk, Client, Server, SetupError};
+use pooler_routing::Span;
+use pooler_service_registry::client::{Access, Call, CallError, Chunk, Client, Server, SetupError};
 use rcgen::{CertificateParams, CertifiedIssuer, KeyPair};
 use rustls_pki_types::PrivateKeyDer;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -91,7 +91,7 @@
 }
 
 fn file(name: &str, text: &str, mode: u32) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("linnetdeal-client-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("pooler-client-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
     path
--- a/crates/registry/tests/timing.rs
+++ b/crates/service-registry/tests/timing.rs
@@ -1,9 +1,9 @@
 //! When to ask, and when to tell, on a clock that the tests hold.
 
-use linnetdeal_core::{Span, Time};
-use linnetdeal_registry::eureka::lease::{Act, Came, Lease};
-use linnetdeal_registry::eureka::model::Status;
-use linnetdeal_registry::eureka::poller::{Ask, Failure, Pace, Poller};
+use pooler_routing::{Span, Time};
+use pooler_service_registry::eureka::lease::{Act, Came, Lease};
+use pooler_service_registry::eureka::model::Status;
+use pooler_service_registry::eureka::poller::{Ask, Failure, Pace, Poller};
 
 const START: Time = Time(1_767_225_600_000_000);
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,7 +9,7 @@
     match wire::run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("linnetdeal-simhost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,9 +1,9 @@
 //! The adapter: text lines in, text lines out, one [`Router`] per instance. It translates and
 //! decides nothing; instances share nothing but the numbered lists that the wire itself shares.
 
-use linnetdeal_core::Router;
-use linnetdeal_core::settings::{Pairs, Parsed, span};
-use linnetdeal_core::*;
+use pooler_routing::Router;
+use pooler_routing::settings::{Pairs, Parsed, span};
+use pooler_routing::*;
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -13,7 +13,7 @@
 Rules.FallMultiple=3.0 Rules.Fall=2000.0 Unknown.Key=ignored";
 
 fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_linnetdeal-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what linnetdeal works with, all on loopback and of this project's own: a registry that speaks Eureka's
+//! Stand-ins for what pooler works with, all on loopback and of this project's own: a registry that speaks Eureka's
 //! REST API and can be scripted to lag, lie and vanish; boxes that speak PostgreSQL and keep a ledger; clients. What a
 //! proof reports is counted here, from what passed on the sockets, and never by the pooler.
 
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,17 +1,17 @@
 //! The lab's command line.
 
 use clap::{Parser, Subcommand};
-use linnetdeal_lab::model::{Bounds, check};
-use linnetdeal_lab::play::{Outcome, play, program};
-use linnetdeal_lab::script::Script;
+use pooler_testbed::model::{Bounds, check};
+use pooler_testbed::play::{Outcome, play, program};
+use pooler_testbed::script::Script;
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Mutex;
 
-/// Stand-ins, scripts and proofs round linnetdeal, on loopback only.
+/// Stand-ins, scripts and proofs round pooler, on loopback only.
 #[derive(Parser)]
-#[command(name = "linnetdeal-lab", version)]
+#[command(name = "pooler-testbed", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -91,14 +91,14 @@
         }
         Command::EurekaBench { sizes } => bench(&sizes),
         Command::Demo { seconds } => {
-            linnetdeal_lab::demo::run(&program(), seconds).map(|()| true).map_err(Failure::from)
+            pooler_testbed::demo::run(&program(), seconds).map(|()| true).map_err(Failure::from)
         }
     };
     match done {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
-            eprintln!("linnetdeal-lab: {error}");
+            eprintln!("pooler-testbed: {error}");
             ExitCode::FAILURE
         }
     }
@@ -108,7 +108,7 @@
 
 fn bench(sizes: &[usize]) -> Result<bool, Failure> {
     for size in sizes {
-        println!("{}", linnetdeal_lab::sizes::measure(&program(), *size)?);
+        println!("{}", pooler_testbed::sizes::measure(&program(), *size)?);
     }
     Ok(true)
 }
@@ -121,9 +121,9 @@
         for _ in 0..at_once.max(1) {
             scope.spawn(|| {
                 loop {
-                    let Some((at, one)) = linnetdeal_lab::lock(&queue).next() else { return };
+                    let Some((at, one)) = pooler_testbed::lock(&queue).next() else { return };
                     let result = work(one);
-                    linnetdeal_lab::lock(&done).push((at, result));
+                    pooler_testbed::lock(&done).push((at, result));
                 }
             });
         }
@@ -134,8 +134,8 @@
 }
 
 fn primary(only: &str, side_by_side: usize, times: usize) -> Result<bool, Failure> {
-    use linnetdeal_lab::family::{Step, Way};
-    use linnetdeal_lab::primary::{Case, play, quantile};
+    use pooler_testbed::family::{Step, Way};
+    use pooler_testbed::primary::{Case, play, quantile};
     let ways = |step| Way::ALL.map(|way| Case::Dies(step, way));
     let cases: Vec<Case> = Step::ALL.into_iter().flat_map(ways).chain([Case::Planned; 3]).collect();
     let cases: Vec<Case> = cases.iter().copied().filter(|case| case.to_string().contains(only)).collect();
@@ -220,7 +220,7 @@
     scripts.retain(|script| script.name.contains(only));
     let program = program();
     let outcomes = side_by_side_of(&scripts, side_by_side, |script| play(script, &program, seed));
-    let mut whole = linnetdeal_lab::ledger::Verdict::default();
+    let mut whole = pooler_testbed::ledger::Verdict::default();
     let (mut well, mut missed, mut shares) = (true, 0, std::collections::BTreeMap::new());
     for (script, outcome) in scripts.iter().zip(outcomes) {
         let name = &script.name;
--- a/crates/lab/src/model.rs
+++ b/crates/testbed/src/model.rs
@@ -1,7 +1,7 @@
 //! Model checking of the decisions themselves: the same [`Router`] that serves, stepped by stateright through all orders
 //! in which a change of primary, answers, losses, a crash of a router and a drain can fall, within stated bounds.
 
-use linnetdeal_core::*;
+use pooler_routing::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/lab/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -115,7 +115,7 @@
         let servers: Vec<String> = servers.collect();
         let interval = INTERVAL.as_millis();
         format!(
-            "package linnetdeal\n\nregistry: {{\n\tservers: [{}]\n\tapps: [\"DB\"]\n\tnetworks: [{{prefix: \"127.10.0.0/16\"}}]\n\
+            "package pooler\n\nregistry: {{\n\tservers: [{}]\n\tapps: [\"DB\"]\n\tnetworks: [{{prefix: \"127.10.0.0/16\"}}]\n\
              \tinterval: \"{interval}ms\"\n\tlongest_pause: \"1s\"\n\t{more}\n}}\n",
             servers.join(", ")
         )
@@ -310,11 +310,11 @@
     Ok(Outcome { name: script.name.clone(), verdict, missed, share })
 }
 
-/// The pooler's program: what `LINNETDEAL` names, or the one beside this program.
+/// The pooler's program: what `POOLER_PROGRAM` names, or the one beside this program.
 #[must_use]
 pub fn program() -> PathBuf {
-    std::env::var_os("LINNETDEAL").map(PathBuf::from).unwrap_or_else(|| {
+    std::env::var_os("POOLER_PROGRAM").map(PathBuf::from).unwrap_or_else(|| {
         let own = std::env::current_exe().unwrap_or_default();
-        own.parent().unwrap_or(Path::new(".")).join("linnetdeal")
+        own.parent().unwrap_or(Path::new(".")).join("pooler")
     })
 }
--- a/crates/lab/src/pooler.rs
+++ b/crates/testbed/src/pooler.rs
@@ -52,7 +52,7 @@
     pub fn start(program: &Path, operator: Option<&str>, known: &Value) -> std::io::Result<Self> {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("linnetdeal-lab-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("pooler-testbed-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let config = json!({"name": format!("lab{number}"), "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known, "settings": settings()});
--- a/crates/lab/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -1,6 +1,6 @@
 //! The decisions through all orders of a change of primary, within bounds that a test can afford.
 
-use linnetdeal_lab::model::{Bounds, check};
+use pooler_testbed::model::{Bounds, check};
 
 const SMALL: Bounds =
     Bounds { routers: 1, writes: 1, losses: 1, crashes: 1, drains: true, wrong_reset: false };
--- a/deploy/operator.example.cue
+++ b/deploy/operator.example.cue
@@ -1,5 +1,5 @@
-// An operator's file to start from. 'linnetdeal check --schema' prints all that may stand in it.
-package linnetdeal
+// An operator's file to start from. 'pooler check --schema' prints all that may stand in it.
+package pooler
 
 registry: {
 	// Asked in this order; the next one when one fails.
