--- a/crates/pooler/src/members.rs
+++ b/crates/pooler/src/members.rs
@@ -2,8 +2,8 @@
 
 use crate::{End, registry};
 use pooler_operator_config::Operator;
-use pooler_routing::membership::{Membership, News, SourceId, Taken};
-use pooler_routing::{ListState, Span, Time};
+use pooler_routing::membership::{Membership, MergeResult, SourceId, WatchEvent};
+use pooler_routing::{Lifecycle, TimeDelta, Timestamp};
 use pooler_service_registry::follow::{Counters, Follower, Sink};
 use serde_json::json;
 use std::cell::RefCell;
@@ -17,13 +17,13 @@
 struct Table(Rc<RefCell<Membership>>);
 
 impl Sink for Table {
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Time(i64::try_from(now.as_micros()).unwrap_or(i64::MAX))
+        Timestamp(i64::try_from(now.as_micros()).unwrap_or(i64::MAX))
     }
 
-    fn tell(&self, news: News) -> Taken {
-        self.0.borrow_mut().take(self.now(), SourceId(0), news)
+    fn tell(&self, news: WatchEvent) -> MergeResult {
+        self.0.borrow_mut().merge(self.now(), SourceId(0), news)
     }
 
     fn log(&self, line: &dyn fmt::Display) {
@@ -37,7 +37,7 @@
     let settings = operator.registry.ok_or_else(|| End::config("no registry stands in this file"))?;
     let registry = registry::registry(&settings, None).map_err(End::config)?;
     let servers = registry.servers.len();
-    let table = Table(Rc::new(RefCell::new(Membership::new(Span::millis(0), usize::MAX))));
+    let table = Table(Rc::new(RefCell::new(Membership::new(TimeDelta::from_millis(0), usize::MAX))));
     let counters = Rc::new(Counters::default());
     let mut follower = Follower::new(registry, 0, table.clone(), counters.clone()).map_err(End::config)?;
     let asked = futures_lite::future::block_on(async {
@@ -53,9 +53,9 @@
     asked.map_err(|error| End::other(format!("no server of the registry answered: {error}")))?;
     let members = table.0.borrow();
     let state = |state| match state {
-        ListState::Healthy => "up",
-        ListState::Draining => "draining",
-        ListState::Gone => "gone",
+        Lifecycle::Active => "up",
+        Lifecycle::Draining => "draining",
+        Lifecycle::Removed => "gone",
     };
     let mut out = String::new();
     if as_json {
@@ -63,8 +63,8 @@
             .iter()
             .map(|(id, known)| {
                 json!({"member": &*id.0, "address": known.address.map(|at| at.to_string()), "group": known.group.0,
-                       "zone": known.zone, "state": state(known.state), "primary": known.primary,
-                       "started_ms": known.started.map(|at| at.0 / 1_000)})
+                       "zone": known.zone, "state": state(known.lifecycle), "primary": known.primary,
+                       "started_ms": known.started_at.map(|at| at.0 / 1_000)})
             })
             .collect();
         out = json!({"members": rows, "refused": counters.refused.get(), "outside": counters.outside.get(),
@@ -81,7 +81,7 @@
             let address = known.address.map_or("-".to_owned(), |at| at.to_string());
             let zone = if known.zone.is_empty() { "-" } else { &known.zone };
             let role = if known.primary { "primary" } else { "-" };
-            out += &row([&id.0, &address, &known.group.0.to_string(), zone, state(known.state), role]);
+            out += &row([&id.0, &address, &known.group.0.to_string(), zone, state(known.lifecycle), role]);
         }
         let (refused, outside) = (counters.refused.get(), counters.outside.get());
         if refused > 0 {
--- a/crates/pooler/src/registry.rs
+++ b/crates/pooler/src/registry.rs
@@ -3,8 +3,8 @@
 use pooler_operator_config::{ReadWhat, RegistrySettings};
 use pooler_proxy::Pooler;
 use pooler_proxy::members::{Feed, REGISTRY};
-use pooler_routing::membership::{Doubt, News, Taken};
-use pooler_routing::{ListState, Span, Time};
+use pooler_routing::membership::{MergeResult, SelfPreservation, WatchEvent};
+use pooler_routing::{Lifecycle, TimeDelta, Timestamp};
 use pooler_service_registry::client::{Access, Client, Server, SetupError};
 use pooler_service_registry::eureka::mapping::{Lifts, Mapping, Networks};
 use pooler_service_registry::eureka::model::Status;
@@ -21,8 +21,8 @@
 /// answers is more than that.
 const LAST_WORD: Duration = Duration::from_millis(100);
 
-fn span(duration: Duration) -> Span {
-    Span(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
+fn span(duration: Duration) -> TimeDelta {
+    TimeDelta(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
 
 /// An id that can stand in a URL, whatever the platform calls this pooler.
@@ -83,7 +83,10 @@
             secure_port: settings.secure_port,
             lifts: if settings.lifts_overrides { Lifts::Override } else { Lifts::Registration },
         },
-        doubt: Doubt { lost_share: settings.lost_share, believe_after: settings.believe_after.map(span) },
+        doubt: SelfPreservation {
+            max_missing_fraction: settings.lost_share,
+            accept_after: settings.believe_after.map(span),
+        },
         list,
         own,
     })
@@ -106,14 +109,14 @@
 }
 
 impl Sink for Members {
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         self.feed.now()
     }
 
-    fn tell(&self, news: News) -> Taken {
+    fn tell(&self, news: WatchEvent) -> MergeResult {
         let taken = self.feed.tell(REGISTRY, news);
         // It can serve once it knows somebody to serve from.
-        let serves = taken.changed.iter().any(|entry| entry.state == ListState::Healthy);
+        let serves = taken.changed.iter().any(|entry| entry.lifecycle == Lifecycle::Active);
         if serves && self.life.status() == Some(Status::Starting) {
             self.life.set(Some(Status::Up));
         }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -428,7 +428,7 @@
         let (class, need) = &frontend.classes[asked.class.0];
         let in_doubt = match &answer {
             Final::Failed { at } | Final::Cancelled { at } | Final::Gone { at } => {
-                at.as_ref().filter(|_| *need == Need::Write)
+                at.as_ref().filter(|_| *need == Operation::Write)
             }
             _ => None,
         };
@@ -469,7 +469,7 @@
 }
 
 /// When to come back, as the field D of an error has it.
-fn retry_after_field(after: Span) -> String {
+fn retry_after_field(after: TimeDelta) -> String {
     after.0.max(0).unsigned_abs().div_ceil(1_000).to_string()
 }
 
@@ -498,9 +498,10 @@
     /// The request that a statement makes that came so long ago; `None` if its class is unknown.
     fn asked(&self, statement: &str, comment: &pg::Comment<'_>, waited: Duration) -> Option<Asked<()>> {
         let at = self.classes.iter().position(|(name, _)| name == comment.class)?;
-        let span = |time: Duration| Span(i64::try_from(time.as_micros()).unwrap_or(i64::MAX));
+        let span = |time: Duration| TimeDelta(i64::try_from(time.as_micros()).unwrap_or(i64::MAX));
         let longest = span(self.longest_deadline);
-        let keyed = matches!(self.classes[at].1, Need::Write | Need::Session);
+        let keyed =
+            matches!(self.classes[at].1, Operation::Write | Operation::Read(Consistency::ReadYourWrites));
         let session = pg::key(statement).filter(|_| keyed).map(|key| {
             let mut hasher = DefaultHasher::new();
             key.hash(&mut hasher);
@@ -511,8 +512,8 @@
             session,
             group: GroupId(comment.cluster),
             deadline: self.driver.clock.now() - span(waited)
-                + Span((comment.wait_ms * 1_000.0) as i64).min(longest),
-            last_write: comment.after_ms.map(|ms| Time((ms * 1_000.0) as i64)),
+                + TimeDelta((comment.wait_ms * 1_000.0) as i64).min(longest),
+            last_write: comment.after_ms.map(|ms| Timestamp((ms * 1_000.0) as i64)),
             query: (),
         })
     }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,8 +2,8 @@
 //! Keys that mean nothing here are ignored.
 
 use crate::startup::retried;
-use pooler_routing::membership::{Claim, Evidence, News};
-use pooler_routing::settings::{Pairs, span};
+use pooler_routing::membership::{EndpointClaim, RecordVersion, WatchEvent};
+use pooler_routing::settings::{SettingsError, SettingsMap, duration_from_millis};
 use pooler_routing::*;
 use serde::Deserialize;
 use serde_json::Value;
@@ -39,7 +39,7 @@
     },
     /// The settings lack something.
     #[error("configuration: {0}")]
-    Settings(String),
+    Settings(#[from] SettingsError),
     /// Fewer descriptors than a pooler needs.
     #[error("configuration: limits.sockets is {0}, and at least {LEAST_SOCKETS} are needed")]
     Sockets(usize),
@@ -93,7 +93,7 @@
     /// The longest deadline of any class.
     pub longest_deadline: Duration,
     /// What load reports hold, by name.
-    pub report: Vec<(String, Field)>,
+    pub report: Vec<(String, LoadReportField)>,
     /// Discovery is one service for the whole fleet that has to be asked, not an agent of the pooler's own.
     pub shared_discovery: bool,
 }
@@ -164,14 +164,14 @@
     /// When it is not what `DEPLOY` describes, or a setting is missing or unreadable.
     pub fn decode(text: &str) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_str(text)?;
-        let pairs = Pairs::from_json(&file.settings);
-        let mut settings = pairs.settings().map_err(ConfigError::Settings)?;
-        let host = HostSettings::decode(&pairs).map_err(ConfigError::Settings)?;
+        let pairs = SettingsMap::from_json(&file.settings);
+        let mut settings = pairs.settings()?;
+        let host = HostSettings::decode(&pairs)?;
         // Positions on sockets are Unix times, and so is the clock of this host.
-        settings.zero = Time(0);
+        settings.position_epoch = Timestamp(0);
         // This host keeps the list followed by itself, and one attempt of a request out at a time.
         settings.discovery = Discovery::Push;
-        settings.second_copies = false;
+        settings.hedging_allowed = false;
         let seed = match &file.seed {
             Value::Null => 0,
             Value::Number(number) => number.as_u64().unwrap_or(0),
@@ -189,8 +189,10 @@
 }
 
 impl HostSettings {
-    fn decode(pairs: &Pairs) -> Result<Self, String> {
-        let time = |key: &str, absent| Ok::<_, String>(duration(span(pairs.amount_or(key, absent)?)));
+    fn decode(pairs: &SettingsMap) -> Result<Self, SettingsError> {
+        let time = |key: &str, absent| {
+            Ok::<_, SettingsError>(duration(duration_from_millis(pairs.amount_or(key, absent)?)))
+        };
         let mut longest_deadline = Duration::ZERO;
         for at in 0..pairs.amount("Lanes.count")? as usize {
             longest_deadline = longest_deadline.max(time(&format!("Lanes.{at}.Deadline"), 1_000.0)?);
@@ -200,7 +202,7 @@
             dial_timeout: time("Limits.DialTimeout", 250.0)?,
             keepalive: time("Limits.Keepalive", 30_000.0)?,
             longest_deadline,
-            report: names.map(|name| (name.to_owned(), Field::named(name))).collect(),
+            report: names.map(|name| (name.to_owned(), LoadReportField::from_name(name))).collect(),
             shared_discovery: pairs.text("Discovery")? == "ask",
         })
     }
@@ -208,7 +210,7 @@
 
 /// The span as the standard library has it; none for a negative one.
 #[must_use]
-pub fn duration(span: Span) -> Duration {
+pub fn duration(span: TimeDelta) -> Duration {
     Duration::from_micros(u64::try_from(span.0).unwrap_or(0))
 }
 
@@ -249,8 +251,8 @@
 impl Server {
     /// Who it is.
     #[must_use]
-    pub fn member(&self) -> MemberId {
-        MemberId(Arc::from(self.instance_id.as_str()))
+    pub fn member(&self) -> EndpointId {
+        EndpointId(Arc::from(self.instance_id.as_str()))
     }
 
     /// Where it listens, as far as the entry tells.
@@ -261,26 +263,29 @@
 
     /// Its state. One that is not known here gets nothing new, as if it drained.
     #[must_use]
-    pub fn state(&self) -> ListState {
+    pub fn state(&self) -> Lifecycle {
         match self.lifecycle.as_str() {
-            "up" => ListState::Healthy,
-            "removed" => ListState::Gone,
-            _ => ListState::Draining,
+            "up" => Lifecycle::Active,
+            "removed" => Lifecycle::Removed,
+            _ => Lifecycle::Draining,
         }
     }
 
     /// What the entry says, as the message of this number.
     #[must_use]
-    pub fn claim(&self, number: i64) -> Claim {
-        Claim {
-            member: self.member(),
+    pub fn claim(&self, number: i64) -> EndpointClaim {
+        EndpointClaim {
+            endpoint: self.member(),
             address: self.address(),
             group: self.cell.map(|cell| GroupId(cell as i64)),
-            state: self.state(),
+            lifecycle: self.state(),
             primary: self.part.as_deref() == Some("master"),
-            started: self.started_at_ms.filter(|ms| *ms > 0.0).map(|ms| Time(span(ms).0)),
+            started_at: self
+                .started_at_ms
+                .filter(|ms| *ms > 0.0)
+                .map(|ms| Timestamp(duration_from_millis(ms).0)),
             zone: self.zone.clone(),
-            evidence: Evidence { stamp: number, ..Evidence::default() },
+            version: RecordVersion { change_stamp: number, ..RecordVersion::default() },
         }
     }
 }
@@ -288,8 +293,12 @@
 impl ServerList {
     /// What the list says, as the message of this number. The platform's messages come in order and are believed.
     #[must_use]
-    pub fn news(&self, number: i64, whole: bool) -> News {
+    pub fn news(&self, number: i64, whole: bool) -> WatchEvent {
         let claims = self.instances.iter().map(|server| server.claim(number)).collect();
-        if whole || self.reset { News::Full { claims, view: number } } else { News::Changes(claims) }
+        if whole || self.reset {
+            WatchEvent::Snapshot { claims, version: number }
+        } else {
+            WatchEvent::Delta(claims)
+        }
     }
 }
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the pooler took in, sent and answered.
 
-use pooler_routing::Verdict;
+use pooler_routing::AttemptOutcome;
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::rc::Rc;
@@ -77,23 +77,23 @@
     }
 }
 
-const VERDICTS: [(Verdict, &str); 11] = [
-    (Verdict::Ok, "ok"),
-    (Verdict::Error, "error"),
-    (Verdict::Full, "full"),
-    (Verdict::Timeout, "timeout"),
-    (Verdict::ConnectFailed, "connect_failed"),
-    (Verdict::Unreachable, "unreachable"),
-    (Verdict::Broken, "broken"),
-    (Verdict::Reset, "reset"),
-    (Verdict::Cancelled, "cancelled"),
-    (Verdict::Moot, "moot"),
-    (Verdict::Miss, "miss"),
+const VERDICTS: [(AttemptOutcome, &str); 11] = [
+    (AttemptOutcome::Ok, "ok"),
+    (AttemptOutcome::Error, "error"),
+    (AttemptOutcome::Rejected, "full"),
+    (AttemptOutcome::Timeout, "timeout"),
+    (AttemptOutcome::ConnectionRefused, "connect_failed"),
+    (AttemptOutcome::ConnectTimeout, "unreachable"),
+    (AttemptOutcome::ConnectionLostBeforeSend, "broken"),
+    (AttemptOutcome::ConnectionReset, "reset"),
+    (AttemptOutcome::Cancelled, "cancelled"),
+    (AttemptOutcome::NotSent, "moot"),
+    (AttemptOutcome::NotEligible, "miss"),
 ];
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub fn outcome(&self, verdict: Verdict) {
+    pub fn outcome(&self, verdict: AttemptOutcome) {
         for ((of, _), count) in VERDICTS.iter().zip(&self.outcomes) {
             if *of == verdict {
                 count.add();
--- a/crates/proxy/src/doubts.rs
+++ b/crates/proxy/src/doubts.rs
@@ -1,7 +1,7 @@
 //! Writes whose outcome nobody knows: all of it was sent, no answer came, and it must not be sent again. Their clients are
 //! told "failed"; operators find them here, by the clients' ids, to look them up where they would have run.
 
-use pooler_routing::{MemberId, Time};
+use pooler_routing::{EndpointId, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::fmt;
@@ -15,8 +15,8 @@
 struct Doubt {
     id: Box<str>,
     class: Box<str>,
-    member: Option<MemberId>,
-    at: Time,
+    member: Option<EndpointId>,
+    at: Timestamp,
 }
 
 /// The writes in doubt since the start, the latest of them by name.
@@ -28,7 +28,7 @@
 
 impl Doubts {
     /// One more: the client's id, its class, the member that may have run it, and when that was given up.
-    pub fn add(&self, id: &str, class: &str, member: Option<MemberId>, at: Time) {
+    pub fn add(&self, id: &str, class: &str, member: Option<EndpointId>, at: Timestamp) {
         self.all.set(self.all.get().saturating_add(1));
         let mut latest = self.latest.borrow_mut();
         if latest.len() == KEPT {
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// A wake later than this tells that the process stood still.
-const LATE: Span = Span::millis(5);
+const LATE: TimeDelta = TimeDelta::from_millis(5);
 /// Long enough for one turn of the reactor.
 const A_TURN: Duration = Duration::from_millis(1);
 
@@ -24,14 +24,14 @@
     /// Start an attempt.
     Send {
         /// Where to.
-        member: MemberId,
+        member: EndpointId,
         /// How long to wait for its answer.
-        wait: Span,
+        wait: TimeDelta,
     },
     /// Answer that it is refused.
     Refuse {
         /// When the client should come back.
-        retry_after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     },
     /// Answer that it has failed.
     Fail,
@@ -49,14 +49,14 @@
     actions: RefCell<Vec<Action>>,
     mailboxes: RefCell<HashMap<RequestId, Sender<Order>>>,
     last: Cell<u64>,
-    wakes: (Sender<Time>, Receiver<Time>),
-    probes: Sender<MemberId>,
+    wakes: (Sender<Timestamp>, Receiver<Timestamp>),
+    probes: Sender<EndpointId>,
 }
 
 impl Driver {
     /// A driver of `router`; members to probe go to `probes`.
     #[must_use]
-    pub fn new(router: Router, counters: Rc<Counters>, probes: Sender<MemberId>) -> Self {
+    pub fn new(router: Router, counters: Rc<Counters>, probes: Sender<EndpointId>) -> Self {
         Self {
             clock: Clock::start(),
             counters,
@@ -81,15 +81,15 @@
 
     fn pass_on(&self, action: Action) {
         match action {
-            Action::Send { request, member, timeout } => {
+            Action::Send { request, endpoint: member, timeout } => {
                 self.order(request, Order::Send { member, wait: timeout });
             }
-            Action::Refuse { request, retry_after } => self.order(request, Order::Refuse { retry_after }),
+            Action::Reject { request, retry_after } => self.order(request, Order::Refuse { retry_after }),
             Action::Fail { request } => self.order(request, Order::Fail),
             Action::Cancel { request, .. } => self.order(request, Order::Cancel),
             // Both channels are unbounded, and their other ends live as long as the process.
-            Action::Probe { member } => drop(self.probes.try_send(member)),
-            Action::Wake { at } => drop(self.wakes.0.try_send(at)),
+            Action::HealthCheck { endpoint } => drop(self.probes.try_send(endpoint)),
+            Action::SetTimer { at } => drop(self.wakes.0.try_send(at)),
             // The list is always followed.
             Action::Subscribe => {}
             Action::Log { line } => tracing::info!(target: "decisions", "{line}"),
@@ -104,7 +104,7 @@
     }
 
     /// Opens a mailbox under a new id, and tells the module of the request that `event` makes with it.
-    pub fn take(self: &Rc<Self>, event: impl FnOnce(RequestId, Time) -> Request) -> Ticket {
+    pub fn take(self: &Rc<Self>, event: impl FnOnce(RequestId, Timestamp) -> Request) -> Ticket {
         let id = RequestId(self.last.get() + 1);
         self.last.set(id.0);
         let (sender, orders) = async_channel::unbounded();
@@ -115,19 +115,19 @@
     }
 
     /// Whether the module would still have this attempt written.
-    pub fn still_fit(&self, request: RequestId, member: &MemberId) -> bool {
-        self.router.borrow().still_fit(self.clock.now(), request, member)
+    pub fn still_eligible(&self, request: RequestId, member: &EndpointId) -> bool {
+        self.router.borrow().still_eligible(self.clock.now(), request, member)
     }
 
     /// Whether the module would send a member anything new.
-    pub fn takes_new_work(&self, member: &MemberId) -> bool {
-        self.router.borrow().takes_new_work(member)
+    pub fn accepts_new_work(&self, member: &EndpointId) -> bool {
+        self.router.borrow().accepts_new_work(member)
     }
 
     /// Wakes the module when it asked for it. A later wish takes the place of an earlier one: the module
     /// voices one only if it is sooner, or the earlier has passed.
     pub async fn run_wakes(&self) {
-        let mut due: Option<Time> = None;
+        let mut due: Option<Timestamp> = None;
         loop {
             let next = async { self.wakes.1.recv().await.ok() };
             let rings = async {
@@ -149,7 +149,7 @@
                     Timer::after(A_TURN).await;
                 }
                 futures_lite::future::yield_now().await;
-                self.feed(Event::Wake);
+                self.feed(Event::TimerFired);
             }
         }
     }
--- a/crates/proxy/src/frontend.rs
+++ b/crates/proxy/src/frontend.rs
@@ -51,7 +51,7 @@
     /// The slots of the connections.
     pub(crate) slots: Rc<Slots>,
     /// The classes by name.
-    pub(crate) classes: Vec<(String, Need)>,
+    pub(crate) classes: Vec<(String, Operation)>,
     /// Writes whose outcome nobody knows.
     pub(crate) doubts: Rc<Doubts>,
     /// The longest deadline of any class.
@@ -61,7 +61,7 @@
     /// Who can be asked to cancel.
     pub(crate) sessions: Sessions,
     /// When a client comes back for which there was no room, where clients are told.
-    pub(crate) full_retry_after: Option<Span>,
+    pub(crate) full_retry_after: Option<TimeDelta>,
     /// What clients that send ahead share.
     pub(crate) ahead: Rc<Shared>,
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -33,7 +33,7 @@
 use driver::Driver;
 use life::Life;
 use members::{Feed, Members};
-use pooler_routing::{Router, Span};
+use pooler_routing::{Router, TimeDelta};
 use reload::Reloader;
 use shutdown::Shutdown;
 use slots::Slots;
@@ -49,7 +49,7 @@
 const SCRATCH: usize = 64 * 1024;
 
 /// When a client comes back for which there was no room: by then others have been answered.
-const FULL_RETRY_AFTER: Span = Span::millis(250);
+const FULL_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(250);
 
 /// Why the daemon ended.
 #[derive(Debug, thiserror::Error)]
@@ -84,10 +84,13 @@
         let members = Rc::new(Members::default());
         let executor = Rc::new(LocalExecutor::new());
         let (probes, wanted) = async_channel::unbounded();
-        let classes = config.settings.classes.iter().map(|class| (class.name.clone(), class.need)).collect();
-        let pauses = Pauses::new(config.seed, config.settings.fleet, config.host.shared_discovery);
-        let full_retry_after =
-            config.settings.retry_after.then(|| FULL_RETRY_AFTER.min(config.settings.max_retry_after));
+        let classes =
+            config.settings.classes.iter().map(|class| (class.name.clone(), class.operation)).collect();
+        let pauses = Pauses::new(config.seed, config.settings.router_count, config.host.shared_discovery);
+        let full_retry_after = config
+            .settings
+            .retry_after_allowed
+            .then(|| FULL_RETRY_AFTER.min(config.settings.max_retry_after));
         let router = Router::new(config.seed, config.settings);
         let driver = Rc::new(Driver::new(router, counters.clone(), probes));
         let longest_deadline = config.host.longest_deadline;
--- a/crates/proxy/src/members.rs
+++ b/crates/proxy/src/members.rs
@@ -1,7 +1,9 @@
 //! Who the members are at this moment, by all sources that there are, and the way in for what these tell.
 
 use crate::driver::Driver;
-use pooler_routing::membership::{Doubt, Known, Membership, News, SourceId, Taken};
+use pooler_routing::membership::{
+    Membership, MergeResult, ResolvedEndpoint, SelfPreservation, SourceId, WatchEvent,
+};
 use pooler_routing::*;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,7 +16,7 @@
 
 /// Who has been gone for so long is forgotten, and sooner if they are more than so many. It bounds what is held of
 /// members that came and went; a claim staler than that would count as news.
-const REMEMBERS: Span = Span::millis(15 * 60 * 1_000);
+const REMEMBERS: TimeDelta = TimeDelta::from_millis(15 * 60 * 1_000);
 const MOST_GONE: usize = 16 * 1024;
 
 /// The members by id.
@@ -30,13 +32,13 @@
 impl Members {
     /// Where a member listens.
     #[must_use]
-    pub fn address(&self, member: &MemberId) -> Option<SocketAddr> {
+    pub fn address(&self, member: &EndpointId) -> Option<SocketAddr> {
         self.0.borrow().get(member).and_then(|known| known.address)
     }
 
     /// All that are known, by id.
     #[must_use]
-    pub fn all(&self) -> Vec<(MemberId, Known)> {
+    pub fn all(&self) -> Vec<(EndpointId, ResolvedEndpoint)> {
         self.0.borrow().iter().map(|(id, known)| (id.clone(), known.clone())).collect()
     }
 }
@@ -57,24 +59,24 @@
     }
 
     /// Says how a source's full lists are doubted.
-    pub fn doubt(&self, source: SourceId, doubt: Doubt) {
-        self.members.0.borrow_mut().doubt(source, doubt);
+    pub fn doubt(&self, source: SourceId, doubt: SelfPreservation) {
+        self.members.0.borrow_mut().set_self_preservation(source, doubt);
     }
 
     /// The time on the clock that sources and module share: Unix, in microseconds.
     #[must_use]
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.driver.clock.now()
     }
 
     /// Takes news in and passes what it changes to the module at once.
-    pub fn tell(&self, source: SourceId, news: News) -> Taken {
-        let taken = self.members.0.borrow_mut().take(self.now(), source, news);
+    pub fn tell(&self, source: SourceId, news: WatchEvent) -> MergeResult {
+        let taken = self.members.0.borrow_mut().merge(self.now(), source, news);
         if !taken.changed.is_empty() {
-            self.driver.feed(Event::List(Listing::Changes(taken.changed.clone())));
+            self.driver.feed(Event::EndpointUpdate(EndpointUpdate::Delta(taken.changed.clone())));
         }
-        if !taken.forgotten.is_empty() {
-            self.driver.feed(Event::List(Listing::Forgotten(taken.forgotten.clone())));
+        if !taken.evicted.is_empty() {
+            self.driver.feed(Event::EndpointUpdate(EndpointUpdate::Evicted(taken.evicted.clone())));
         }
         taken
     }
--- a/crates/proxy/src/pg/backend.rs
+++ b/crates/proxy/src/pg/backend.rs
@@ -1,7 +1,7 @@
 //! What a server sends.
 
 use super::{LONGEST_VALUE, Message, PgError, bounded, text};
-use pooler_routing::{Field, Note, Role, Time};
+use pooler_routing::{LoadReportField, ResponseMetadata, Role, Timestamp};
 
 /// No position of a log is a Unix time in seconds beyond this.
 const LATEST_POSITION: f64 = 1e11;
@@ -196,7 +196,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Notes {
     role: Option<Role>,
-    position: Option<Time>,
+    position: Option<Timestamp>,
     /// The load report, by name.
     gauges: Option<String>,
 }
@@ -210,7 +210,7 @@
             // A Unix time in milliseconds; the module counts in microseconds.
             ("caught_up_to", value) => {
                 let ms = value.parse().ok().filter(|ms| (0.0..1e14).contains(ms));
-                self.position = ms.map(|ms: f64| Time((ms * 1_000.0) as i64));
+                self.position = ms.map(|ms: f64| Timestamp((ms * 1_000.0) as i64));
             }
             ("gauges", value) => self.gauges = Some(value.to_owned()),
             _ => {}
@@ -219,14 +219,14 @@
 
     /// The note, if the server said anything of its role or position.
     #[must_use]
-    pub fn note(&self) -> Option<Note> {
+    pub fn note(&self) -> Option<ResponseMetadata> {
         let told = self.role.is_some() || self.position.is_some();
-        told.then_some(Note { role: self.role, position: self.position })
+        told.then_some(ResponseMetadata { role: self.role, position: self.position })
     }
 
     /// The load report that came along, in the order of `fields`.
     #[must_use]
-    pub fn report(&self, fields: &[(String, Field)]) -> Option<Vec<f64>> {
+    pub fn report(&self, fields: &[(String, LoadReportField)]) -> Option<Vec<f64>> {
         self.gauges.as_deref().and_then(|gauges| report(gauges, fields))
     }
 }
@@ -234,16 +234,16 @@
 /// A load report such as `inflight=7,util=0.61` in the order of `fields`. One that lacks a field, has it twice or
 /// gives it a value that it can't have is no report, and changes nothing.
 #[must_use]
-pub fn report(gauges: &str, fields: &[(String, Field)]) -> Option<Vec<f64>> {
+pub fn report(gauges: &str, fields: &[(String, LoadReportField)]) -> Option<Vec<f64>> {
     let pairs: Option<Vec<_>> = gauges.split(',').map(|pair| pair.trim().split_once('=')).collect();
     let pairs = pairs?;
-    let value = |(name, field): &(String, Field)| {
+    let value = |(name, field): &(String, LoadReportField)| {
         let mut found = pairs.iter().filter(|(at, _)| at.trim() == name).map(|(_, text)| text.trim());
         let value: f64 = found.next().filter(|_| found.next().is_none())?.parse().ok()?;
         let can_be = match field {
-            Field::Position => value < LATEST_POSITION,
-            Field::Primary => value == 0.0 || value == 1.0,
-            Field::Other => true,
+            LoadReportField::Position => value < LATEST_POSITION,
+            LoadReportField::Primary => value == 0.0 || value == 1.0,
+            LoadReportField::Other => true,
         };
         Some(value).filter(|value| can_be && value.is_finite() && *value >= 0.0)
     };
--- a/crates/proxy/src/probes.rs
+++ b/crates/proxy/src/probes.rs
@@ -4,7 +4,7 @@
 use crate::upstream::Pool;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
-use pooler_routing::{Event, MemberId};
+use pooler_routing::{EndpointId, Event};
 use std::rc::Rc;
 
 /// Carries out the probes that are asked for. Runs as long as the module does.
@@ -12,7 +12,7 @@
     executor: Rc<LocalExecutor<'static>>,
     driver: Rc<Driver>,
     pool: Rc<Pool>,
-    wanted: Receiver<MemberId>,
+    wanted: Receiver<EndpointId>,
 ) {
     while let Ok(member) = wanted.recv().await {
         let (driver, pool) = (driver.clone(), pool.clone());
@@ -20,10 +20,15 @@
     }
 }
 
-async fn probe(driver: &Driver, pool: &Pool, member: MemberId) {
+async fn probe(driver: &Driver, pool: &Pool, member: EndpointId) {
     let sent = driver.clock.now();
     driver.counters.probes.add();
     let (verdict, report) = pool.probe(&member).await;
     let took = driver.clock.now() - sent;
-    driver.feed(Event::Probed { member, verdict, took, report });
+    driver.feed(Event::HealthCheckCompleted {
+        endpoint: member,
+        outcome: verdict,
+        elapsed: took,
+        load_report: report,
+    });
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -23,7 +23,7 @@
     /// When the future ends or is dropped, nothing of the attempt is out any more.
     fn attempt(
         &self,
-        member: &MemberId,
+        member: &EndpointId,
         query: &Self::Query,
         wait: Duration,
         sending: &Sending<'_>,
@@ -33,7 +33,7 @@
 /// What an attempt asks before it is written, and tells once it is.
 pub struct Sending<'a> {
     /// Whether it may still be written when its connection is there.
-    pub still_fit: &'a dyn Fn() -> bool,
+    pub still_eligible: &'a dyn Fn() -> bool,
     /// All of it is written: it may run.
     pub sent: Cell<bool>,
 }
@@ -42,19 +42,19 @@
 #[derive(Debug)]
 pub struct Ended<R> {
     /// The outcome.
-    pub verdict: Verdict,
+    pub verdict: AttemptOutcome,
     /// What the member said of itself.
-    pub note: Option<Note>,
+    pub note: Option<ResponseMetadata>,
     /// Its load report.
     pub report: Option<Vec<f64>>,
-    /// The answer, if the outcome is [`Verdict::Ok`].
+    /// The answer, if the outcome is [`AttemptOutcome::Ok`].
     pub reply: Option<R>,
 }
 
 impl<R> Ended<R> {
     /// An end without an answer or a note.
     #[must_use]
-    pub fn without_answer(verdict: Verdict) -> Self {
+    pub fn without_answer(verdict: AttemptOutcome) -> Self {
         Self { verdict, note: None, report: None, reply: None }
     }
 }
@@ -69,9 +69,9 @@
     /// Its group.
     pub group: GroupId,
     /// When the client gives up.
-    pub deadline: Time,
+    pub deadline: Timestamp,
     /// When its session last committed, where clients say so.
-    pub last_write: Option<Time>,
+    pub last_write: Option<Timestamp>,
     /// What is sent to a member.
     pub query: Q,
 }
@@ -93,21 +93,21 @@
     /// A member's answer.
     Served(R),
     /// Refused; trying again does no harm.
-    Refused(Option<Span>),
+    Refused(Option<TimeDelta>),
     /// Failed; nothing is promised. Named is the last member that may have run it, if one may.
     Failed {
         /// The member.
-        at: Option<MemberId>,
+        at: Option<EndpointId>,
     },
     /// Ended at its client's wish. Named is the last member that may have run it, if one may.
     Cancelled {
         /// The member.
-        at: Option<MemberId>,
+        at: Option<EndpointId>,
     },
     /// The client has closed its connection, or its side of it. Named is the last member that may have run it, if one may.
     Gone {
         /// The member.
-        at: Option<MemberId>,
+        at: Option<EndpointId>,
     },
 }
 
@@ -134,10 +134,10 @@
         class: asked.class,
         tenant: None,
         session: asked.session,
-        left: asked.deadline - now,
+        time_remaining: asked.deadline - now,
         group: asked.group,
-        last_write: asked.last_write.map(|at| now - at),
-        cost: None,
+        since_last_write: asked.last_write.map(|at| now - at),
+        expected_work: None,
     });
     loop {
         // It orders an attempt or the final answer, or lets the request wait.
@@ -149,15 +149,15 @@
             Turn::Ordered(Order::Fail) => return failed(driver, may_have_run),
             Turn::Ordered(Order::Cancel) | Turn::Ended(_) => continue,
             Turn::Cut(why) => {
-                driver.feed(Event::Gone(ticket.id()));
+                driver.feed(Event::RequestAbandoned(ticket.id()));
                 return end_early(driver, why, may_have_run);
             }
         };
 
         driver.counters.sent.add();
         let sent = driver.clock.now();
-        let still_fit = || driver.still_fit(ticket.id(), &member);
-        let sending = Sending { still_fit: &still_fit, sent: Cell::new(false) };
+        let still_eligible = || driver.still_eligible(ticket.id(), &member);
+        let sending = Sending { still_eligible: &still_eligible, sent: Cell::new(false) };
         let turn = {
             let attempt = carrier.attempt(&member, &asked.query, duration(wait), &sending);
             attend(attempt, ticket.order(), cut.as_mut(), &sending.sent).await
@@ -165,7 +165,7 @@
 
         // The attempt is over, with its connection if it was given up; only now is the module told. What was given
         // up before all of it was written never ran.
-        let given_up = if sending.sent.get() { Verdict::Cancelled } else { Verdict::Moot };
+        let given_up = if sending.sent.get() { AttemptOutcome::Cancelled } else { AttemptOutcome::NotSent };
         let (ended, after) = match turn {
             Turn::Ended(ended) => (ended, None),
             Turn::Ordered(order) => (Ended::without_answer(given_up), Some(Ok(order))),
@@ -176,18 +176,18 @@
             may_have_run = Some(member.clone());
         }
         if matches!(after, Some(Err(_))) {
-            driver.feed(Event::Gone(ticket.id()));
+            driver.feed(Event::RequestAbandoned(ticket.id()));
         }
         driver.counters.outcome(verdict);
-        driver.feed(Event::Outcome(Outcome {
+        driver.feed(Event::AttemptCompleted(AttemptCompletion {
             request: ticket.id(),
-            attempt: AttemptNo(sends),
-            member,
-            verdict,
-            note,
-            took: driver.clock.now() - sent,
-            closed: reply.is_some() || !matches!(after, None | Some(Ok(Order::Cancel))),
-            report,
+            attempt: AttemptNumber(sends),
+            endpoint: member,
+            outcome: verdict,
+            metadata: note,
+            elapsed: driver.clock.now() - sent,
+            request_closed: reply.is_some() || !matches!(after, None | Some(Ok(Order::Cancel))),
+            load_report: report,
         }));
         sends += 1;
 
@@ -236,18 +236,18 @@
     .await
 }
 
-fn refused<R>(driver: &Driver, retry_after: Option<Span>) -> Final<R> {
+fn refused<R>(driver: &Driver, retry_after: Option<TimeDelta>) -> Final<R> {
     driver.counters.refused.add();
     Final::Refused(retry_after)
 }
 
-fn failed<R>(driver: &Driver, at: Option<MemberId>) -> Final<R> {
+fn failed<R>(driver: &Driver, at: Option<EndpointId>) -> Final<R> {
     driver.counters.failed.add();
     Final::Failed { at }
 }
 
 /// At the end of the process a refusal is an honest answer only to what can't have run.
-fn end_early<R>(driver: &Driver, why: Cut, may_have_run: Option<MemberId>) -> Final<R> {
+fn end_early<R>(driver: &Driver, why: Cut, may_have_run: Option<EndpointId>) -> Final<R> {
     match why {
         Cut::ClientLeft => {
             driver.counters.gone.add();
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -223,7 +223,7 @@
 
 /// What was read up to ReadyForQuery, or until the server ended the connection.
 struct Exchange {
-    verdict: Verdict,
+    verdict: AttemptOutcome,
     notes: Notes,
     /// The answer's messages in the buffer.
     pieces: Vec<Range<usize>>,
@@ -242,7 +242,7 @@
     counters: Rc<Counters>,
     host: HostSettings,
     budget: Rc<Budget>,
-    idle: RefCell<HashMap<MemberId, VecDeque<Connection>>>,
+    idle: RefCell<HashMap<EndpointId, VecDeque<Connection>>>,
 }
 
 impl Pool {
@@ -264,7 +264,7 @@
             Timer::after(Duration::from_millis(500)).await;
             let longest = self.longest_idle();
             self.idle.borrow_mut().retain(|member, connections| {
-                let address = self.members.address(member).filter(|_| self.driver.takes_new_work(member));
+                let address = self.members.address(member).filter(|_| self.driver.accepts_new_work(member));
                 connections.retain(|one| one.usable(address, longest));
                 !connections.is_empty()
             });
@@ -278,8 +278,8 @@
         oldest.is_some_and(|of| of.pop_front().is_some())
     }
 
-    fn put_back(&self, member: &MemberId, mut connection: Connection) {
-        if !connection.buffer.data().is_empty() || !self.driver.takes_new_work(member) {
+    fn put_back(&self, member: &EndpointId, mut connection: Connection) {
+        if !connection.buffer.data().is_empty() || !self.driver.accepts_new_work(member) {
             return;
         }
         connection.buffer.rest();
@@ -289,7 +289,7 @@
 
     /// A free connection; the latest used first, so that the others can grow old and go, but for those that
     /// have only just brought an answer.
-    fn free(&self, member: &MemberId) -> Option<Connection> {
+    fn free(&self, member: &EndpointId) -> Option<Connection> {
         let address = self.members.address(member);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(member)?;
@@ -317,7 +317,7 @@
         Permit(self.budget.clone())
     }
 
-    async fn connection(&self, member: &MemberId, stage: &Cell<Stage>) -> Result<Connection, Lost> {
+    async fn connection(&self, member: &EndpointId, stage: &Cell<Stage>) -> Result<Connection, Lost> {
         loop {
             for _ in 0..MOST_PINGS {
                 let Some(mut connection) = self.free(member) else { break };
@@ -348,7 +348,7 @@
         }
     }
 
-    async fn dial(&self, member: &MemberId, permit: Permit) -> Result<Connection, Lost> {
+    async fn dial(&self, member: &EndpointId, permit: Permit) -> Result<Connection, Lost> {
         let address = self.members.address(member).ok_or(Lost::Down)?;
         self.counters.dials.add();
         let stream = Async::<TcpStream>::connect(address).await.map_err(|error| match error.kind() {
@@ -387,18 +387,18 @@
     /// Sends one query, whose answer is waited for until then, and reads up to ReadyForQuery.
     async fn exchange(
         &self,
-        member: &MemberId,
+        member: &EndpointId,
         query: Query<'_>,
         until: Instant,
         stage: &Cell<Stage>,
     ) -> Result<(Connection, Exchange), Lost> {
         let mut connection = self.connection(member, stage).await?;
         // The list may have changed while the connection was opened; nothing new goes to who drains or is gone.
-        if !self.driver.takes_new_work(member) {
+        if !self.driver.accepts_new_work(member) {
             return Err(Lost::Withdrawn);
         }
         // Nor does a read whose data there has grown too old by now.
-        if matches!(query, Query::Statement(_, sending) if !(sending.still_fit)()) {
+        if matches!(query, Query::Statement(_, sending) if !(sending.still_eligible)()) {
             self.put_back(member, connection);
             return Err(Lost::Withdrawn);
         }
@@ -422,9 +422,9 @@
     async fn within(
         &self,
         wait: Duration,
-        member: &MemberId,
+        member: &EndpointId,
         query: Query<'_>,
-    ) -> Result<(Connection, Exchange), Verdict> {
+    ) -> Result<(Connection, Exchange), AttemptOutcome> {
         let (stage, until) = (Cell::new(Stage::Waiting), Instant::now() + wait);
         let answer = async { Some(self.exchange(member, query, until, &stage).await) };
         let limit = async {
@@ -435,19 +435,19 @@
             (Some(Ok(done)), _) => Ok(done),
             (Some(Err(Lost::Said(code))), _) => Err(connection_verdict(code)),
             // Nothing was sent, and nothing is known of the member.
-            (Some(Err(Lost::Withdrawn)), _) | (None, Stage::Waiting) => Err(Verdict::Moot),
-            (None, Stage::Sent) => Err(Verdict::Timeout),
+            (Some(Err(Lost::Withdrawn)), _) | (None, Stage::Waiting) => Err(AttemptOutcome::NotSent),
+            (None, Stage::Sent) => Err(AttemptOutcome::Timeout),
             // Silence for less than the dial's own limit: nothing was sent, and it may be this connection's alone.
-            (None, Stage::Dialing) => Err(Verdict::Broken),
-            (Some(Err(_)), Stage::Sent) => Err(Verdict::Reset),
-            (None, Stage::Writing) | (Some(Err(Lost::Down)), _) => Err(Verdict::ConnectFailed),
-            (Some(Err(Lost::Silent)), _) => Err(Verdict::Unreachable),
-            (Some(Err(_)), _) => Err(Verdict::Broken),
+            (None, Stage::Dialing) => Err(AttemptOutcome::ConnectionLostBeforeSend),
+            (Some(Err(_)), Stage::Sent) => Err(AttemptOutcome::ConnectionReset),
+            (None, Stage::Writing) | (Some(Err(Lost::Down)), _) => Err(AttemptOutcome::ConnectionRefused),
+            (Some(Err(Lost::Silent)), _) => Err(AttemptOutcome::ConnectTimeout),
+            (Some(Err(_)), _) => Err(AttemptOutcome::ConnectionLostBeforeSend),
         }
     }
 
     /// Asks a member for its load report.
-    pub async fn probe(&self, member: &MemberId) -> (Verdict, Option<Vec<f64>>) {
+    pub async fn probe(&self, member: &EndpointId) -> (AttemptOutcome, Option<Vec<f64>>) {
         match self.within(PROBE_WAIT, member, Query::Report).await {
             Err(verdict) => (verdict, None),
             Ok((mut connection, exchange)) => {
@@ -470,7 +470,7 @@
 
     async fn attempt(
         &self,
-        member: &MemberId,
+        member: &EndpointId,
         query: &Statement,
         wait: Duration,
         sending: &Sending<'_>,
@@ -479,7 +479,7 @@
             Err(verdict) => Ended::without_answer(verdict),
             Ok((mut connection, exchange)) => {
                 let Exchange { verdict, notes, pieces, size, ready, .. } = exchange;
-                let reply = (verdict == Verdict::Ok).then(|| {
+                let reply = (verdict == AttemptOutcome::Ok).then(|| {
                     let (bytes, at) = connection.buffer.detach(size);
                     let moved = |piece: Range<usize>| piece.start + at.start..piece.end + at.start;
                     Reply { bytes, pieces: pieces.into_iter().map(moved).collect() }
@@ -497,19 +497,19 @@
 }
 
 /// What a server's error in answer to a statement tells: only these codes prove that nothing ran.
-fn statement_verdict(code: Code) -> Verdict {
+fn statement_verdict(code: Code) -> AttemptOutcome {
     match &code.0 {
-        b"53300" => Verdict::Full,
-        b"25006" | b"72000" => Verdict::Miss,
-        _ => Verdict::Error,
+        b"53300" => AttemptOutcome::Rejected,
+        b"25006" | b"72000" => AttemptOutcome::NotEligible,
+        _ => AttemptOutcome::Error,
     }
 }
 
 /// What a server's error before any statement tells: nothing was sent, whatever the code.
-fn connection_verdict(code: Code) -> Verdict {
+fn connection_verdict(code: Code) -> AttemptOutcome {
     match &code.0 {
-        b"53300" | b"57P03" => Verdict::Full,
-        _ => Verdict::Broken,
+        b"53300" | b"57P03" => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::ConnectionLostBeforeSend,
     }
 }
 
@@ -551,6 +551,6 @@
             _ => return Err(Lost::Broken),
         }
     }
-    let verdict = answer.failed().map_or(Verdict::Ok, statement_verdict);
+    let verdict = answer.failed().map_or(AttemptOutcome::Ok, statement_verdict);
     Ok(Exchange { verdict, notes: answer.into_notes(), pieces, value, size: at, ready })
 }
--- a/crates/proxy/tests/parsers.rs
+++ b/crates/proxy/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! The parsers on anything at all: no panic, and no message before its last byte is there.
 
 use pooler_proxy::{http, pg};
-use pooler_routing::Field;
+use pooler_routing::LoadReportField;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -89,7 +89,7 @@
 
     #[test]
     fn a_load_report_that_can_not_be_is_none(gauges in "(x0=(1767225600.5|inf|1e99|-1|)|x1=(0|1|2|nan)|x2=1|noise){1}(,(x1=(0|1|7)|x0=5))?") {
-        let fields = [("x0".to_owned(), Field::Position), ("x1".to_owned(), Field::Primary)];
+        let fields = [("x0".to_owned(), LoadReportField::Position), ("x1".to_owned(), LoadReportField::Primary)];
         let good = ["x0=1767225600.5,x1=0", "x0=1767225600.5,x1=1", "x1=0,x0=5", "x1=1,x0=5"];
         prop_assert_eq!(pg::report(&gauges, &fields).is_some(), good.contains(&gauges.as_str()), "{}", gauges);
     }
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -23,7 +23,7 @@
     type Query = ();
     type Reply = ();
 
-    async fn attempt(&self, _: &MemberId, _: &(), _: Duration, sending: &Sending<'_>) -> Ended<()> {
+    async fn attempt(&self, _: &EndpointId, _: &(), _: Duration, sending: &Sending<'_>) -> Ended<()> {
         poll_fn(|_| {
             self.looks.set(self.looks.get() + 1);
             if self.looks.get() < 2 {
@@ -38,24 +38,24 @@
 }
 
 fn driver() -> Rc<Driver> {
-    let class = Class {
+    let class = RequestClass {
         name: "any".into(),
-        effect: Effect::Safe,
-        need: Need::Any,
-        aim: Span::millis(500),
-        aim_stretch: 0.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        idempotency: Idempotency::Idempotent,
+        operation: Operation::Read(Consistency::Eventual),
+        latency_objective: TimeDelta::from_millis(500),
+        objective_stretch: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
     };
     let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
     let (probes, _) = async_channel::unbounded();
     let driver = Driver::new(Router::new(1, settings), Rc::new(Counters::default()), probes);
-    driver.feed(Event::List(Listing::Full(vec![Entry {
-        member: MemberId(Arc::from("s-1")),
+    driver.feed(Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![EndpointEntry {
+        endpoint: EndpointId(Arc::from("s-1")),
         group: GroupId(0),
-        state: ListState::Healthy,
+        lifecycle: Lifecycle::Active,
         primary: false,
-        started: None,
+        started_at: None,
         zone: String::new(),
     }])));
     Rc::new(driver)
@@ -69,7 +69,7 @@
             class: ClassId(0),
             session: None,
             group: GroupId(0),
-            deadline: driver.clock.now() + Span::millis(1_000),
+            deadline: driver.clock.now() + TimeDelta::from_millis(1_000),
             last_write: None,
             query: (),
         };
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,22 +1,36 @@
-//! The decisions of pooler, a pooler that routes reads and writes over replicated databases.
+//! The routing decisions of the pooler, which routes reads and writes over replicated databases.
 //!
-//! [`Router`] is a pure state machine: the host feeds it [`Event`]s with the time at which they happened and carries
-//! out the [`Action`]s that it appends. [`membership`] settles who the members are by what several sources say. Nothing
-//! here performs I/O, reads a clock or starts a thread; the same events give the same actions.
+//! [`Router`] is a pure state machine: the host reports [`Event`]s with the time at which they happened, and carries
+//! out the [`Action`]s that the router appends. [`membership`] resolves who the endpoints are from what several
+//! sources say. Nothing here performs I/O, reads a clock or starts a thread; the same events and seed give the same
+//! actions.
 //!
-//! The hosts are the packages `pooler-proxy`, on real sockets, and `simulator-adapter`, with one decoder of the
-//! [`settings`]. The README shows how they fit and an example, which is tested with the documentation.
+//! The hosts are the packages `pooler-proxy`, on real sockets, and `simulator-adapter`; both decode [`settings`] with
+//! the same code. The README has an example, which is tested with the documentation.
 
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
 
+mod action;
+mod event;
 pub mod handover;
-mod interface;
+mod identifiers;
 pub mod membership;
 mod router;
 pub mod settings;
 mod state;
+mod time;
 
-pub use interface::*;
+pub use action::Action;
+pub use event::{
+    AttemptCompletion, AttemptOutcome, EndpointEntry, EndpointUpdate, Event, Lifecycle, Request,
+    ResponseMetadata, Role,
+};
+pub use identifiers::{AttemptNumber, ClassId, EndpointId, GroupId, RequestId, SessionKey, TenantId};
 pub use router::Router;
+pub use settings::{
+    Consistency, Discovery, Idempotency, LoadReportField, ObjectiveWeights, Operation, RequestClass,
+    SessionTokenSource, Settings, StaleReadPolicy, Tenant,
+};
+pub use time::{TimeDelta, Timestamp};
--- a/crates/routing/src/router/evidence.rs
+++ b/crates/routing/src/router/evidence.rs
@@ -3,12 +3,19 @@
 use super::Router;
 use super::tuning::*;
 use crate::handover::Candidate;
-use crate::interface::*;
 use crate::state::*;
+use crate::*;
 
 impl Router {
     /// Takes what an answer told of its member.
-    pub(super) fn note(&mut self, now: Time, id: &MemberId, note: Option<Note>, took: Span, write: bool) {
+    pub(super) fn note(
+        &mut self,
+        now: Timestamp,
+        id: &EndpointId,
+        note: Option<ResponseMetadata>,
+        took: TimeDelta,
+        write: bool,
+    ) {
         let Some(note) = note else { return };
         let of_primary = note.role == Some(Role::Primary);
         let confirmed = self.clock.is_confirmed();
@@ -34,13 +41,19 @@
                 self.show_primary(now, id, at.max(seen.unwrap_or(at)));
             }
             // One that hung answers long after the send: what it said just now goes before an older report.
-            Some(Role::Replica) => m.replica_at = m.replica_at.max(present - Span(1)),
+            Some(Role::Replica) => m.replica_at = m.replica_at.max(present - TimeDelta(1)),
             None => {}
         }
     }
 
     /// Takes a load report.
-    pub(super) fn report(&mut self, now: Time, id: &MemberId, report: Option<&[f64]>, took: Span) {
+    pub(super) fn report(
+        &mut self,
+        now: Timestamp,
+        id: &EndpointId,
+        report: Option<&[f64]>,
+        took: TimeDelta,
+    ) {
         let Some((report, m)) = report.zip(self.members.get_mut(id)) else { return };
         let (position, primary) = self.settings.reading(report);
         let Some(position) = position.filter(|position| self.clock.heard_position(now, *position)) else {
@@ -66,7 +79,7 @@
     }
 
     /// The clock was ahead: what it had dated by then is no later than the present.
-    fn set_clock_back(&mut self, now: Time) {
+    fn set_clock_back(&mut self, now: Timestamp) {
         let present = self.clock.at(now);
         for m in self.members.values_mut() {
             m.position = m.position.min(present);
@@ -77,7 +90,7 @@
         self.log = Some("the clock was ahead of the fleet's".to_owned());
     }
 
-    pub(super) fn show_primary(&mut self, now: Time, id: &MemberId, at: Time) {
+    pub(super) fn show_primary(&mut self, now: Timestamp, id: &EndpointId, at: Timestamp) {
         let Some(m) = self.members.get_mut(id) else { return };
         m.primary_at = m.primary_at.max(at);
         let gid = m.group;
@@ -96,7 +109,7 @@
     }
 
     /// The marked member, if it was last shown as primary and is not suspect.
-    pub(super) fn shown(&self, now: Time, gid: GroupId) -> Option<&MemberId> {
+    pub(super) fn shown(&self, now: Timestamp, gid: GroupId) -> Option<&EndpointId> {
         let mark = self.groups.get(&gid)?.mark.as_ref()?;
         let m = &self.members[mark];
         (m.role() == PRIMARY && self.sendable(m) && !self.suspect(m, now)).then_some(mark)
@@ -104,7 +117,7 @@
 
     /// A marked primary that fell silent, with nothing else out there. One fresh read at a time tries it: if
     /// only some connections are silent, nothing else would show it before they end.
-    pub(super) fn on_trial(&self, now: Time, gid: GroupId) -> Option<&MemberId> {
+    pub(super) fn on_trial(&self, now: Timestamp, gid: GroupId) -> Option<&EndpointId> {
         let mark = self.groups.get(&gid)?.mark.as_ref()?;
         let m = &self.members[mark];
         let free = now >= m.ejected && self.live(m, now) < 1.0;
@@ -112,12 +125,12 @@
     }
 
     /// Looks for a group's primary: asks all members, less and less often while none shows.
-    pub(super) fn seek(&mut self, now: Time, gid: GroupId, actions: &mut Vec<Action>) {
+    pub(super) fn seek(&mut self, now: Timestamp, gid: GroupId, actions: &mut Vec<Action>) {
         let Some(group) = self.groups.get(&gid) else { return };
         let known = group.members.iter().map(|id| (id, &self.members[id]));
         // A fresh router asks whom the list shows before it asks all: it is seldom wrong.
-        let silent = |m: &Member| m.primary_at.max(m.replica_at) == Time::default();
-        let waits = |m: &Member| m.probed == Time::default() || now - m.probed < SEEK_LISTED;
+        let silent = |m: &Member| m.primary_at.max(m.replica_at) == Timestamp::default();
+        let waits = |m: &Member| m.probed == Timestamp::default() || now - m.probed < SEEK_LISTED;
         let first = |m: &Member| m.listed_primary && silent(m) && waits(m) && self.sendable(m);
         if let Some(id) = known.clone().find(|(_, m)| first(m)).map(|(id, _)| id.clone()) {
             return self.probe(now, &[id], SEEK_LISTED, actions);
@@ -132,18 +145,26 @@
             })
             .collect();
         let mut seek = group.seek;
-        let ids = seek.ask(now, self.settings.fleet, &candidates);
+        let ids = seek.ask(now, self.settings.router_count, &candidates);
         self.groups.entry(gid).and_modify(|group| group.seek = seek);
-        self.probe(now, &ids, Span(1), actions);
+        self.probe(now, &ids, TimeDelta(1), actions);
     }
 
-    pub(super) fn probe(&mut self, now: Time, ids: &[MemberId], every: Span, actions: &mut Vec<Action>) {
+    pub(super) fn probe(
+        &mut self,
+        now: Timestamp,
+        ids: &[EndpointId],
+        every: TimeDelta,
+        actions: &mut Vec<Action>,
+    ) {
         for id in ids {
-            let Some(m) = self.members.get(id).filter(|m| self.settings.probes && self.sendable(m)) else {
+            let Some(m) =
+                self.members.get(id).filter(|m| self.settings.health_checks_allowed && self.sendable(m))
+            else {
                 continue;
             };
             if now - m.probed >= every {
-                actions.push(Action::Probe { member: id.clone() });
+                actions.push(Action::HealthCheck { endpoint: id.clone() });
                 self.members.entry(id.clone()).and_modify(|m| m.probed = now);
             }
         }
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -15,8 +15,8 @@
 mod slow_start;
 mod tuning;
 
-use crate::interface::*;
 use crate::state::*;
+use crate::*;
 use fleet_clock::FleetClock;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -30,13 +30,13 @@
     rng: ChaCha8Rng,
     clock: FleetClock,
     /// When the first read waited for a primary to tell the present.
-    primary_awaited: Option<Time>,
+    primary_awaited: Option<Timestamp>,
     /// The list has been told once: what comes after it are changes.
     has_list: bool,
-    members: BTreeMap<MemberId, Member>,
+    members: BTreeMap<EndpointId, Member>,
     groups: BTreeMap<GroupId, Group>,
     open: BTreeMap<RequestId, Open>,
-    due: BTreeSet<(Time, RequestId)>,
+    due: BTreeSet<(Timestamp, RequestId)>,
     /// Groups that hold requests, and those of which something new is known.
     waiting: BTreeSet<GroupId>,
     stirred: BTreeSet<GroupId>,
@@ -44,29 +44,29 @@
     /// Worth served and asked for.
     classes: Vec<Counts>,
     tenants: Vec<Counts>,
-    tokens: HashMap<SessionKey, Time>,
+    tokens: HashMap<SessionKey, Timestamp>,
     crowd: [Counts; 2],
     /// Answers, of all members in service, and when the first came.
     served: Counts,
-    began: Time,
+    began: Timestamp,
     in_service: f64,
     /// Questions for positions that may be asked.
     asks: f64,
     retries: f64,
-    wake: Option<Time>,
-    swept: Time,
-    stalled: Time,
-    ask_at: Option<Time>,
+    wake: Option<Timestamp>,
+    swept: Timestamp,
+    stalled: Timestamp,
+    ask_at: Option<Timestamp>,
     log: Option<String>,
-    logged: Time,
+    logged: Timestamp,
 }
 
 impl Router {
     /// A router that knows nothing but its settings.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
-        let pace = |class: &Class| {
-            let aim = class.aim.0 as f64;
+        let pace = |class: &RequestClass| {
+            let aim = class.latency_objective.0 as f64;
             Pace { mean: aim * PACE_MEAN, dev: aim * PACE_DEV, seen: PACE_PRIOR }
         };
         Self {
@@ -86,14 +86,14 @@
             tokens: HashMap::new(),
             crowd: [Counts::default(); 2],
             served: Counts::default(),
-            began: Time(i64::MAX),
+            began: Timestamp(i64::MAX),
             in_service: 0.0,
             asks: ASKS_MOST,
             retries: 1.0,
             wake: None,
             swept: NEVER,
             stalled: NEVER,
-            ask_at: (settings.discovery == Discovery::Ask).then_some(NEVER),
+            ask_at: (settings.discovery == Discovery::Poll).then_some(NEVER),
             log: None,
             logged: NEVER,
             settings,
@@ -101,20 +101,25 @@
     }
 
     /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.stalled = if self.wake.is_some_and(|at| now - at > STALL) { now } else { self.stalled };
         self.wake = self.wake.filter(|at| now < *at);
         match event {
-            Event::List(listing) => self.list(now, listing),
+            Event::EndpointUpdate(listing) => self.list(now, listing),
             Event::Request(request) => self.request(now, &request, actions),
-            Event::Gone(id) => drop(self.drop_open(id, actions)),
-            Event::Streaming(id) => drop(self.drop_open(id, &mut Vec::new())),
-            Event::Wake => {}
-            Event::Outcome(outcome) => self.outcome(now, outcome, actions),
-            Event::Probed { member, verdict, took, report } => {
+            Event::RequestAbandoned(id) => drop(self.drop_open(id, actions)),
+            Event::ResponseStarted(id) => drop(self.drop_open(id, &mut Vec::new())),
+            Event::TimerFired => {}
+            Event::AttemptCompleted(outcome) => self.outcome(now, outcome, actions),
+            Event::HealthCheckCompleted {
+                endpoint: member,
+                outcome: verdict,
+                elapsed: took,
+                load_report: report,
+            } => {
                 // An answered probe is no sign of life: it passes beside the queue of a member that hangs.
                 self.report(now, &member, report.as_deref(), took);
-                if matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable) {
+                if matches!(verdict, AttemptOutcome::ConnectionRefused | AttemptOutcome::ConnectTimeout) {
                     self.judge(now, &member, verdict, took, None);
                 }
             }
@@ -126,11 +131,11 @@
             actions.push(Action::Log { line });
         }
         let soon = (!self.waiting.is_empty()).then_some(now + SWEEP);
-        let next = self.due.first().map(|due| due.0.max(now + Span(1)));
+        let next = self.due.first().map(|due| due.0.max(now + TimeDelta(1)));
         let next = next.into_iter().chain(soon).chain(self.ask_at).min();
         if let Some(at) = next.filter(|next| self.wake.is_none_or(|at| *next < at)) {
             self.wake = Some(at);
-            actions.push(Action::Wake { at });
+            actions.push(Action::SetTimer { at });
         }
     }
 
--- a/crates/routing/src/router/tuning.rs
+++ b/crates/routing/src/router/tuning.rs
@@ -1,21 +1,21 @@
 //! The tuned values of the decisions.
 
-use crate::interface::Span;
+use crate::TimeDelta;
 
 /// A member is valid while its load is under this multiple of the pool's mean; 1.0 tried, no difference.
 pub(super) const THRESHOLD: f64 = 1.2;
 /// How many members after the first pick are looked at (the paper's m); 4 tried, no difference.
 pub(super) const FORWARD: usize = 2;
 /// How often held requests are looked over, and how late a wake tells of an own stall, not of members.
-pub(super) const SWEEP: Span = Span::millis(10);
-pub(super) const STALL: Span = Span::millis(60);
+pub(super) const SWEEP: TimeDelta = TimeDelta::from_millis(10);
+pub(super) const STALL: TimeDelta = TimeDelta::from_millis(60);
 /// How long a refused read or a lag counts against a member, and after how long an old report is news.
-pub(super) const LAG_MEMORY: Span = Span::millis(1_000);
-pub(super) const REPORT_AGE: Span = Span::millis(500);
+pub(super) const LAG_MEMORY: TimeDelta = TimeDelta::from_millis(1_000);
+pub(super) const REPORT_AGE: TimeDelta = TimeDelta::from_millis(500);
 /// How soon a replica that may be fit by now is asked again (reads come within a second of own writes), and
 /// how long a fresh router waits for the word of the listed primary.
-pub(super) const ASK_AGAIN_SOON: Span = Span::millis(100);
-pub(super) const SEEK_LISTED: Span = Span::millis(250);
+pub(super) const ASK_AGAIN_SOON: TimeDelta = TimeDelta::from_millis(100);
+pub(super) const SEEK_LISTED: TimeDelta = TimeDelta::from_millis(250);
 /// What questions for positions may cost, in points of the result, and how many may be saved up.
 pub(super) const ASKS_PRICE: f64 = 0.02;
 pub(super) const ASKS_MOST: f64 = 10.0;
@@ -38,8 +38,8 @@
 pub(super) const NO_CONNECTION: f64 = 0.7;
 pub(super) const ERROR_BESIDE_ANSWER: f64 = 0.4;
 pub(super) const HEALING: f64 = 0.8;
-pub(super) const EJECTION: Span = Span::millis(250);
-pub(super) const LONGEST_EJECTION: Span = Span::millis(4_000);
+pub(super) const EJECTION: TimeDelta = TimeDelta::from_millis(250);
+pub(super) const LONGEST_EJECTION: TimeDelta = TimeDelta::from_millis(4_000);
 pub(super) const MOST_DOUBLINGS: u32 = 5;
 /// A request that this many members answered with an error is at fault itself; it harms no member.
 pub(super) const FUTILE_ERRORS: usize = 2;
@@ -89,11 +89,11 @@
 /// A class this close to the worst served counts as it.
 pub(super) const NEAR_WORST: f64 = 0.02;
 /// The least retry-after (at once would add to a crowd), and when a failed call for the list is made again.
-pub(super) const LEAST_RETRY_AFTER: Span = Span::millis(100);
-pub(super) const ASK_AGAIN: Span = Span::millis(1_000);
+pub(super) const LEAST_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
+pub(super) const ASK_AGAIN: TimeDelta = TimeDelta::from_millis(1_000);
 /// Remembered sessions beyond this many are dropped once every member has what they wrote.
 pub(super) const TOKENS: usize = 8_192;
 /// How long counts of the late past last, and those of crowding, in microseconds; and the pause between logs.
 pub(super) const MEMORY: f64 = 7e6;
 pub(super) const CROWD_MEMORY: f64 = 3e6;
-pub(super) const LOG_EVERY: Span = Span::millis(1_000);
+pub(super) const LOG_EVERY: TimeDelta = TimeDelta::from_millis(1_000);
--- /dev/null
+++ b/crates/routing/src/settings/decode.rs
@@ -0,0 +1,267 @@
+//! Decodes settings for both hosts. The simulator sends them as key=value pairs; the pooler's configuration holds the
+//! same object as nested JSON, which is flattened to such pairs first.
+//!
+//! The keys and words are those of the protocol. They are mapped to this crate's terms here and nowhere else.
+
+use super::{
+    Consistency, Discovery, Idempotency, LoadReportField, ObjectiveWeights, Operation, RequestClass,
+    SessionTokenSource, Settings, SettingsError, StaleReadPolicy, Tenant,
+};
+use crate::{TimeDelta, Timestamp};
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+/// No setting counts or measures more: as a time, over thirty thousand years.
+const MAX_AMOUNT: f64 = 1e15;
+
+type Result<T> = std::result::Result<T, SettingsError>;
+
+/// The duration of so many milliseconds, rounded to the microsecond.
+#[must_use]
+pub fn duration_from_millis(milliseconds: f64) -> TimeDelta {
+    TimeDelta((milliseconds * 1_000.0).round() as i64)
+}
+
+/// Settings as key=value pairs, where the key is the path to the value.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct SettingsMap(BTreeMap<String, String>);
+
+impl SettingsMap {
+    /// Collects the pairs among `words`; words without an equals sign are skipped.
+    pub fn from_words<'a>(words: impl Iterator<Item = &'a str>) -> Self {
+        let pairs = words.filter_map(|pair| pair.split_once('='));
+        Self(pairs.map(|(key, value)| (key.to_owned(), value.to_owned())).collect())
+    }
+
+    /// Flattens nested JSON: arrays of plain values are joined by commas, arrays of objects are counted and numbered.
+    #[must_use]
+    pub fn from_json(value: &Value) -> Self {
+        let mut map = Self::default();
+        map.flatten("", value);
+        map
+    }
+
+    fn flatten(&mut self, path: &str, value: &Value) {
+        let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+        match value {
+            Value::Null => {}
+            Value::Object(fields) => {
+                for (name, value) in fields {
+                    self.flatten(&below(name), value);
+                }
+            }
+            Value::Array(items) if items.iter().any(Value::is_object) => {
+                self.0.insert(below("count"), items.len().to_string());
+                for (index, item) in items.iter().enumerate() {
+                    self.flatten(&below(&index.to_string()), item);
+                }
+            }
+            Value::Array(items) => {
+                let items: Vec<String> = items.iter().map(plain_text).collect();
+                self.0.insert(path.to_owned(), items.join(","));
+            }
+            _ => {
+                self.0.insert(path.to_owned(), plain_text(value));
+            }
+        }
+    }
+
+    /// Decodes the router's settings.
+    ///
+    /// # Errors
+    ///
+    /// When a value is missing or unreadable.
+    pub fn settings(&self) -> Result<Settings> {
+        Ok(Settings {
+            classes: self.classes()?,
+            tenants: self.tenants()?,
+            router_count: self.amount("FleetSize")?.max(1.0) as u32,
+            zone: self.text("Zone")?.to_owned(),
+            discovery: self.discovery()?,
+            stale_read_policy: self.stale_read_policy()?,
+            session_token_source: self.session_token_source()?,
+            position_epoch: Timestamp(duration_from_millis(self.number("FamilyInfo.Zero")?).0),
+            load_report_fields: self.load_report_fields(),
+            max_attempts: self.amount("Limits.SendCap")? as u32,
+            hedging_allowed: self.boolean("Limits.MayDuplicate")?,
+            health_checks_allowed: self.boolean("Limits.Probing")?,
+            health_check_cost: self.amount_or("Costs.Probe", 0.0)?.max(0.0),
+            cancellation_allowed: self.boolean("Limits.Cancel")?,
+            retry_after_allowed: self.boolean("Limits.RetryAfter")?,
+            max_retry_after: duration_from_millis(self.amount_or("Limits.MaxRetryAfter", 0.0)?),
+            drain_grace: self.duration("Rules.DrainGrace")?,
+            soft_removal: self.boolean("Rules.SoftRemoval").unwrap_or(false),
+            slow_start_floor: self.amount("Rules.ColdFrom")?,
+            slow_start_window: self.duration("Rules.Cold")?,
+            overload_multiple: self.amount("Rules.FallMultiple")?,
+            overload_window: self.duration("Rules.Fall")?,
+            over_quota_weight: self.amount_or("OverShareWorth", 1.0)?,
+            objective_weights: ObjectiveWeights {
+                overall: self.amount_or("ObjectiveMix.Whole", 0.0)?,
+                worst_class: self.amount_or("ObjectiveMix.WorstClass", 0.0)?,
+            },
+        })
+    }
+
+    /// The text at `key`.
+    ///
+    /// # Errors
+    ///
+    /// When there is none.
+    pub fn text(&self, key: &str) -> Result<&str> {
+        self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing(key.to_owned()))
+    }
+
+    /// The number at `key`.
+    ///
+    /// # Errors
+    ///
+    /// When there is none, or it is not finite.
+    pub fn number(&self, key: &str) -> Result<f64> {
+        let text = self.text(key)?;
+        let value: f64 = text
+            .parse()
+            .map_err(|_| SettingsError::NotANumber { key: key.to_owned(), text: text.to_owned() })?;
+        if value.is_finite() { Ok(value) } else { Err(SettingsError::NotFinite(key.to_owned())) }
+    }
+
+    /// The number at `key`, which can't be negative, nor larger than any amount.
+    ///
+    /// # Errors
+    ///
+    /// When there is none, or it is out of range.
+    pub fn amount(&self, key: &str) -> Result<f64> {
+        let value = self.number(key)?;
+        if (0.0..=MAX_AMOUNT).contains(&value) {
+            return Ok(value);
+        }
+        Err(SettingsError::OutOfRange { key: key.to_owned(), value: value.to_string() })
+    }
+
+    /// The amount at `key`, or `default` where there is none.
+    ///
+    /// # Errors
+    ///
+    /// When it is no amount.
+    pub fn amount_or(&self, key: &str, default: f64) -> Result<f64> {
+        if self.0.contains_key(key) { self.amount(key) } else { Ok(default) }
+    }
+
+    fn duration(&self, key: &str) -> Result<TimeDelta> {
+        self.amount(key).map(duration_from_millis)
+    }
+
+    fn boolean(&self, key: &str) -> Result<bool> {
+        match self.text(key)? {
+            "true" | "1" => Ok(true),
+            "false" | "0" => Ok(false),
+            other => Err(SettingsError::NotABoolean { key: key.to_owned(), text: other.to_owned() }),
+        }
+    }
+
+    fn classes(&self) -> Result<Vec<RequestClass>> {
+        let operations: Vec<&str> = self.text("FamilyInfo.NeedsByClass")?.split(',').collect();
+        let bounds: Vec<&str> = self.text("FamilyInfo.OldestData")?.split(',').collect();
+        let mut classes: Vec<RequestClass> = Vec::new();
+        for index in 0..self.amount("Lanes.count")? as usize {
+            let word =
+                *operations.get(index).ok_or(SettingsError::ListTooShort("FamilyInfo.NeedsByClass"))?;
+            let operation = operation(word, bounds.get(index).copied())?;
+            let class = self.class(index, operation)?;
+            if classes.iter().any(|other| other.name == class.name) {
+                return Err(SettingsError::DuplicateClass(class.name));
+            }
+            classes.push(class);
+        }
+        Ok(classes)
+    }
+
+    fn class(&self, index: usize, operation: Operation) -> Result<RequestClass> {
+        let key = |name: &str| format!("Lanes.{index}.{name}");
+        Ok(RequestClass {
+            idempotency: self.idempotency(&key("Effect"))?,
+            name: self.text(&key("Name"))?.to_owned(),
+            operation,
+            latency_objective: self.duration(&key("Objective"))?,
+            objective_stretch: self.amount_or(&key("AimStretch"), 0.0)?,
+            priority_weight: self.amount(&key("Worth"))?,
+            late_weight: self.amount(&key("LateValue"))?,
+        })
+    }
+
+    fn idempotency(&self, key: &str) -> Result<Idempotency> {
+        Ok(match self.text(key)? {
+            "retryable" => Idempotency::Idempotent,
+            "dedup" => Idempotency::Keyed,
+            "fragile" => Idempotency::NonIdempotent,
+            other => return Err(unknown_word(key, other)),
+        })
+    }
+
+    fn tenants(&self) -> Result<Vec<Tenant>> {
+        let count = self.amount_or("Tenants.count", 0.0)? as usize;
+        let tenant = |index| {
+            Ok(Tenant {
+                name: self.text(&format!("Tenants.{index}.Name"))?.to_owned(),
+                quota: self.amount(&format!("Tenants.{index}.QuotaRps"))?,
+            })
+        };
+        (0..count).map(tenant).collect()
+    }
+
+    fn discovery(&self) -> Result<Discovery> {
+        Ok(match self.text("Discovery")? {
+            "push" => Discovery::Push,
+            "ask" => Discovery::Poll,
+            other => return Err(unknown_word("Discovery", other)),
+        })
+    }
+
+    fn stale_read_policy(&self) -> Result<StaleReadPolicy> {
+        let key = "FamilyInfo.WhenBehind";
+        Ok(match self.text(key)? {
+            "none" => StaleReadPolicy::Serve,
+            "bounce" | "await" => StaleReadPolicy::Reject,
+            other => return Err(unknown_word(key, other)),
+        })
+    }
+
+    fn session_token_source(&self) -> Result<SessionTokenSource> {
+        let key = "FamilyInfo.SessionMarks";
+        Ok(match self.text(key)? {
+            "brought" => SessionTokenSource::Request,
+            "kept" => SessionTokenSource::Router,
+            other => return Err(unknown_word(key, other)),
+        })
+    }
+
+    fn load_report_fields(&self) -> Vec<LoadReportField> {
+        let names = self.text("Report.Fields").unwrap_or("").split(',');
+        names.map(LoadReportField::from_name).collect()
+    }
+}
+
+/// What a class does, by the protocol's word for it and the bound of its staleness in milliseconds.
+fn operation(word: &str, staleness_bound: Option<&str>) -> Result<Operation> {
+    Ok(Operation::Read(match word {
+        "mutate" => return Ok(Operation::Write),
+        "eventual" => Consistency::Eventual,
+        "causal" => Consistency::ReadYourWrites,
+        "strong" => Consistency::Strong,
+        "lag_bound" => {
+            let bound = staleness_bound.and_then(|text| text.parse().ok());
+            let bound = bound.ok_or(SettingsError::Unreadable("FamilyInfo.OldestData"))?;
+            Consistency::BoundedStaleness(duration_from_millis(bound))
+        }
+        other => return Err(unknown_word("FamilyInfo.NeedsByClass", other)),
+    }))
+}
+
+fn unknown_word(key: &str, word: &str) -> SettingsError {
+    SettingsError::UnknownWord { key: key.to_owned(), text: word.to_owned() }
+}
+
+/// A plain JSON value as the pairs have it: without the spaces and commas that separate pairs and list items.
+fn plain_text(value: &Value) -> String {
+    value.as_str().map_or_else(|| value.to_string(), |text| text.replace([' ', ','], "_"))
+}
--- /dev/null
+++ b/crates/routing/src/time.rs
@@ -0,0 +1,70 @@
+//! Timestamps and time differences with a resolution of one microsecond.
+
+use std::ops::{Add, Sub};
+
+/// A moment on the host's monotonic clock, in microseconds since an epoch that the host chooses. It never goes
+/// backwards; only differences between timestamps carry meaning.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Timestamp(pub i64);
+
+impl Timestamp {
+    /// Earlier than every event, and still far enough from the limits of `i64` to be subtracted from.
+    pub const DISTANT_PAST: Self = Self(i64::MIN / 4);
+}
+
+/// The signed difference between two timestamps, in microseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TimeDelta(pub i64);
+
+impl TimeDelta {
+    /// No time at all.
+    pub const ZERO: Self = Self(0);
+
+    /// A difference of `milliseconds` whole milliseconds, saturating at the limits of `i64`.
+    #[must_use]
+    pub const fn from_millis(milliseconds: i64) -> Self {
+        Self(milliseconds.saturating_mul(1_000))
+    }
+
+    /// The difference multiplied by `factor`, rounded towards zero. A factor that is not finite counts as zero.
+    #[must_use]
+    pub fn mul_f64(self, factor: f64) -> Self {
+        let factor = if factor.is_finite() { factor } else { 0.0 };
+        Self((self.0 as f64 * factor) as i64)
+    }
+}
+
+impl Add<TimeDelta> for Timestamp {
+    type Output = Self;
+    fn add(self, delta: TimeDelta) -> Self {
+        Self(self.0.saturating_add(delta.0))
+    }
+}
+
+impl Add for TimeDelta {
+    type Output = Self;
+    fn add(self, delta: Self) -> Self {
+        Self(self.0.saturating_add(delta.0))
+    }
+}
+
+impl Sub for TimeDelta {
+    type Output = Self;
+    fn sub(self, delta: Self) -> Self {
+        Self(self.0.saturating_sub(delta.0))
+    }
+}
+
+impl Sub<TimeDelta> for Timestamp {
+    type Output = Self;
+    fn sub(self, delta: TimeDelta) -> Self {
+        Self(self.0.saturating_sub(delta.0))
+    }
+}
+
+impl Sub for Timestamp {
+    type Output = TimeDelta;
+    fn sub(self, earlier: Self) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(earlier.0))
+    }
+}
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -11,64 +11,68 @@
 pub const KEYED: ClassId = ClassId(4);
 pub const UNSAFE: ClassId = ClassId(5);
 
-pub fn class(name: &str, need: Need, effect: Effect) -> Class {
-    let late_worth = if need == Need::Write { 0.5 } else { 0.0 };
-    Class {
+pub fn class(name: &str, need: Operation, effect: Idempotency) -> RequestClass {
+    let late_worth = if need == Operation::Write { 0.5 } else { 0.0 };
+    RequestClass {
         name: name.into(),
-        effect,
-        need,
-        aim: Span::millis(400),
-        aim_stretch: 0.0,
-        worth: 1.0,
-        late_worth,
+        idempotency: effect,
+        operation: need,
+        latency_objective: TimeDelta::from_millis(400),
+        objective_stretch: 0.0,
+        priority_weight: 1.0,
+        late_weight: late_worth,
     }
 }
 
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class("bounded", Need::Bounded(Span::millis(1_000)), Effect::Safe),
-            class("any", Need::Any, Effect::Safe),
-            class("own", Need::Session, Effect::Safe),
-            class("fresh", Need::Fresh, Effect::Safe),
-            class("keyed", Need::Write, Effect::Keyed),
-            class("unsafe", Need::Write, Effect::Unsafe),
+            class(
+                "bounded",
+                Operation::Read(Consistency::BoundedStaleness(TimeDelta::from_millis(1_000))),
+                Idempotency::Idempotent,
+            ),
+            class("any", Operation::Read(Consistency::Eventual), Idempotency::Idempotent),
+            class("own", Operation::Read(Consistency::ReadYourWrites), Idempotency::Idempotent),
+            class("fresh", Operation::Read(Consistency::Strong), Idempotency::Idempotent),
+            class("keyed", Operation::Write, Idempotency::Keyed),
+            class("unsafe", Operation::Write, Idempotency::NonIdempotent),
         ],
-        fleet: 2,
-        checks: Checks::Refuse,
-        report: vec![Field::Position, Field::Primary],
+        router_count: 2,
+        stale_read_policy: StaleReadPolicy::Reject,
+        load_report_fields: vec![LoadReportField::Position, LoadReportField::Primary],
         max_attempts: 8,
-        probes: true,
-        cancels: true,
-        retry_after: true,
-        max_retry_after: Span::millis(2_000),
-        drain_grace: Span::millis(500),
-        cold_share: 0.2,
-        cold_span: Span::millis(10_000),
-        fall_multiple: 3.0,
-        fall_span: Span::millis(2_000),
+        health_checks_allowed: true,
+        cancellation_allowed: true,
+        retry_after_allowed: true,
+        max_retry_after: TimeDelta::from_millis(2_000),
+        drain_grace: TimeDelta::from_millis(500),
+        slow_start_floor: 0.2,
+        slow_start_window: TimeDelta::from_millis(10_000),
+        overload_multiple: 3.0,
+        overload_window: TimeDelta::from_millis(2_000),
         ..Settings::default()
     }
 }
 
-pub fn member(at: usize) -> MemberId {
-    MemberId(Arc::from(format!("10.0.0.{at}:7000")))
+pub fn member(at: usize) -> EndpointId {
+    EndpointId(Arc::from(format!("10.0.0.{at}:7000")))
 }
 
-pub fn entry(at: usize) -> Entry {
-    Entry {
-        member: member(at),
+pub fn entry(at: usize) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: member(at),
         group: GroupId(0),
-        state: ListState::Healthy,
+        lifecycle: Lifecycle::Active,
         primary: false,
-        started: None,
+        started_at: None,
         zone: String::new(),
     }
 }
 
 pub struct Host {
     pub router: Router,
-    pub now: Time,
+    pub now: Timestamp,
     next: u64,
 }
 
@@ -79,8 +83,8 @@
     }
 
     pub fn seeded(seed: u64, settings: Settings, count: usize) -> Self {
-        let mut host = Self { router: Router::new(seed, settings), now: Time(1_000_000_000), next: 0 };
-        host.tell(Event::List(Listing::Full((1..=count).map(entry).collect())));
+        let mut host = Self { router: Router::new(seed, settings), now: Timestamp(1_000_000_000), next: 0 };
+        host.tell(Event::EndpointUpdate(EndpointUpdate::Snapshot((1..=count).map(entry).collect())));
         host
     }
 
@@ -94,8 +98,8 @@
     pub fn pass(&mut self, ms: i64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..ms.div_euclid(5) {
-            self.now = self.now + Span::millis(5);
-            all.extend(self.tell(Event::Wake));
+            self.now = self.now + TimeDelta::from_millis(5);
+            all.extend(self.tell(Event::TimerFired));
         }
         all
     }
@@ -121,15 +125,15 @@
             class,
             tenant: None,
             session: session.map(SessionKey),
-            left: Span::millis(ms),
+            time_remaining: TimeDelta::from_millis(ms),
             group: GroupId(0),
-            last_write: None,
-            cost: None,
+            since_last_write: None,
+            expected_work: None,
         };
         (id, self.tell(Event::Request(request)))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, at: usize, verdict: Verdict) -> Vec<Action> {
+    pub fn end(&mut self, id: RequestId, attempt: u32, at: usize, verdict: AttemptOutcome) -> Vec<Action> {
         self.end_with(id, attempt, at, verdict, None)
     }
 
@@ -138,52 +142,52 @@
         id: RequestId,
         attempt: u32,
         at: usize,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         role: Option<Role>,
     ) -> Vec<Action> {
-        self.tell(Event::Outcome(Outcome {
+        self.tell(Event::AttemptCompleted(AttemptCompletion {
             request: id,
-            attempt: AttemptNo(attempt),
-            member: member(at),
-            verdict,
-            note: role.map(|role| Note { role: Some(role), position: None }),
-            took: Span::millis(5),
-            closed: verdict == Verdict::Ok,
-            report: None,
+            attempt: AttemptNumber(attempt),
+            endpoint: member(at),
+            outcome: verdict,
+            metadata: role.map(|role| ResponseMetadata { role: Some(role), position: None }),
+            elapsed: TimeDelta::from_millis(5),
+            request_closed: verdict == AttemptOutcome::Ok,
+            load_report: None,
         }))
     }
 
     /// Lets that time pass, then member `at` answers.
     pub fn answer(&mut self, id: RequestId, attempt: u32, at: usize, ms: i64) -> Vec<Action> {
-        self.now = self.now + Span::millis(ms);
-        self.tell(Event::Outcome(Outcome {
+        self.now = self.now + TimeDelta::from_millis(ms);
+        self.tell(Event::AttemptCompleted(AttemptCompletion {
             request: id,
-            attempt: AttemptNo(attempt),
-            member: member(at),
-            verdict: Verdict::Ok,
-            note: None,
-            took: Span::millis(ms),
-            closed: true,
-            report: None,
+            attempt: AttemptNumber(attempt),
+            endpoint: member(at),
+            outcome: AttemptOutcome::Ok,
+            metadata: None,
+            elapsed: TimeDelta::from_millis(ms),
+            request_closed: true,
+            load_report: None,
         }))
     }
 
     /// A probe's answer: role, and a position that is `behind_ms` old.
     pub fn probed(&mut self, at: usize, primary: bool, behind_ms: i64) -> Vec<Action> {
-        let seconds = (self.now - Span::millis(behind_ms)).0 as f64 / 1e6;
-        self.tell(Event::Probed {
-            member: member(at),
-            verdict: Verdict::Ok,
-            took: Span::millis(1),
-            report: Some(vec![seconds, f64::from(u8::from(primary))]),
+        let seconds = (self.now - TimeDelta::from_millis(behind_ms)).0 as f64 / 1e6;
+        self.tell(Event::HealthCheckCompleted {
+            endpoint: member(at),
+            outcome: AttemptOutcome::Ok,
+            elapsed: TimeDelta::from_millis(1),
+            load_report: Some(vec![seconds, f64::from(u8::from(primary))]),
         })
     }
 }
 
 /// Where the sends among the actions go.
-pub fn sends(actions: &[Action]) -> Vec<MemberId> {
+pub fn sends(actions: &[Action]) -> Vec<EndpointId> {
     let to = |action: &Action| match action {
-        Action::Send { member, .. } => Some(member.clone()),
+        Action::Send { endpoint: member, .. } => Some(member.clone()),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
@@ -193,15 +197,16 @@
     actions.contains(&Action::Fail { request: id })
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> Option<Option<Span>> {
+pub fn refused(actions: &[Action], id: RequestId) -> Option<Option<TimeDelta>> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { request, retry_after } if *request == id => Some(*retry_after),
+        Action::Reject { request, retry_after } if *request == id => Some(*retry_after),
         _ => None,
     })
 }
 
-pub fn probes(actions: &[Action]) -> Vec<MemberId> {
-    let to =
-        |action: &Action| if let Action::Probe { member } = action { Some(member.clone()) } else { None };
+pub fn probes(actions: &[Action]) -> Vec<EndpointId> {
+    let to = |action: &Action| {
+        if let Action::HealthCheck { endpoint: member } = action { Some(member.clone()) } else { None }
+    };
     actions.iter().filter_map(to).collect()
 }
--- a/crates/routing/tests/handover.rs
+++ b/crates/routing/tests/handover.rs
@@ -8,16 +8,16 @@
 
 /// Members with their positions and when they were last asked; the first was the primary.
 struct Family {
-    ids: Vec<MemberId>,
-    positions: Vec<Time>,
-    asked: Vec<Time>,
+    ids: Vec<EndpointId>,
+    positions: Vec<Timestamp>,
+    asked: Vec<Timestamp>,
 }
 
 impl Family {
     fn new(positions: &[i64]) -> Self {
-        let ids = (0..positions.len()).map(|at| MemberId(Arc::from(format!("s-{at}")))).collect();
-        let positions: Vec<Time> = positions.iter().map(|ms| Time(ms * 1_000)).collect();
-        Self { ids, asked: vec![Time(-10_000_000); positions.len()], positions }
+        let ids = (0..positions.len()).map(|at| EndpointId(Arc::from(format!("s-{at}")))).collect();
+        let positions: Vec<Timestamp> = positions.iter().map(|ms| Timestamp(ms * 1_000)).collect();
+        Self { ids, asked: vec![Timestamp(-10_000_000); positions.len()], positions }
     }
 
     /// Has it asked for so long, every 10 ms; gives when each was asked, in ms.
@@ -32,9 +32,9 @@
                     before: at == 0,
                 })
                 .collect();
-            for member in seek.ask(Time(ms * 1_000), fleet, &candidates) {
+            for member in seek.ask(Timestamp(ms * 1_000), fleet, &candidates) {
                 let at = self.ids.iter().position(|id| *id == member).unwrap();
-                self.asked[at] = Time(ms * 1_000);
+                self.asked[at] = Timestamp(ms * 1_000);
                 asked[at].push(ms);
             }
         }
@@ -81,9 +81,9 @@
 
 #[test]
 fn nobody_to_ask_is_no_trouble() {
-    assert!(Seek::default().ask(Time(0), 1, &[]).is_empty());
-    assert_eq!(Seek::interval(0), Span::millis(100));
-    assert_eq!(Seek::interval(u32::MAX), Span::millis(1_000));
+    assert!(Seek::default().ask(Timestamp(0), 1, &[]).is_empty());
+    assert_eq!(Seek::interval(0), TimeDelta::from_millis(100));
+    assert_eq!(Seek::interval(u32::MAX), TimeDelta::from_millis(1_000));
 }
 
 proptest! {
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -18,18 +18,18 @@
     Pass { ms: i64 },
 }
 
-const VERDICTS: [Verdict; 9] = [
-    Verdict::Ok,
-    Verdict::Error,
-    Verdict::Full,
-    Verdict::Timeout,
-    Verdict::ConnectFailed,
-    Verdict::Reset,
-    Verdict::Cancelled,
-    Verdict::Moot,
-    Verdict::Miss,
+const VERDICTS: [AttemptOutcome; 9] = [
+    AttemptOutcome::Ok,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::Timeout,
+    AttemptOutcome::ConnectionRefused,
+    AttemptOutcome::ConnectionReset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
+    AttemptOutcome::NotEligible,
 ];
-const STATES: [ListState; 3] = [ListState::Healthy, ListState::Draining, ListState::Gone];
+const STATES: [Lifecycle; 3] = [Lifecycle::Active, Lifecycle::Draining, Lifecycle::Removed];
 const MEMBERS: usize = 6;
 
 fn group_of(at: usize) -> GroupId {
@@ -54,30 +54,31 @@
 struct Owed {
     class: usize,
     group: GroupId,
-    deadline: Time,
+    deadline: Timestamp,
     done: bool,
-    attempts: Vec<(MemberId, Option<Verdict>)>,
+    attempts: Vec<(EndpointId, Option<AttemptOutcome>)>,
 }
 
 /// Plays the steps and checks each action as it comes.
-fn play(steps: &[Step], copies: bool, checks: Checks) {
-    let settings = Settings { second_copies: copies, checks, max_attempts: 5, ..settings() };
+fn play(steps: &[Step], copies: bool, checks: StaleReadPolicy) {
+    let settings =
+        Settings { hedging_allowed: copies, stale_read_policy: checks, max_attempts: 5, ..settings() };
     let classes = settings.classes.clone();
     let mut router = Router::new(11, settings);
-    let mut now = Time(50_000_000);
+    let mut now = Timestamp(50_000_000);
     let mut owed: BTreeMap<RequestId, Owed> = BTreeMap::new();
     let mut barred = [false; MEMBERS];
     let mut next = 0_u64;
-    let line = |at: usize| Entry { group: group_of(at), ..entry(at) };
-    let number = |id: &MemberId| (0..MEMBERS).find(|at| member(*at) == *id).expect("a listed member");
-    let mut events = vec![Event::List(Listing::Full((0..MEMBERS).map(line).collect()))];
+    let line = |at: usize| EndpointEntry { group: group_of(at), ..entry(at) };
+    let number = |id: &EndpointId| (0..MEMBERS).find(|at| member(*at) == *id).expect("a listed member");
+    let mut events = vec![Event::EndpointUpdate(EndpointUpdate::Snapshot((0..MEMBERS).map(line).collect()))];
     let idle = vec![Step::Pass { ms: 5 }; 400];
     for step in steps.iter().chain(&idle) {
         match step {
             Step::Ask { class, group, left } => {
                 next += 1;
                 let id = RequestId(next);
-                let left = Span::millis(*left);
+                let left = TimeDelta::from_millis(*left);
                 let group = GroupId(*group);
                 let known =
                     Owed { class: *class, group, deadline: now + left, done: false, attempts: vec![] };
@@ -87,10 +88,10 @@
                     class: ClassId(*class),
                     tenant: None,
                     session: Some(SessionKey(next % 3)),
-                    left,
+                    time_remaining: left,
                     group,
-                    last_write: None,
-                    cost: None,
+                    since_last_write: None,
+                    expected_work: None,
                 }));
             }
             Step::End { pick, verdict, role, back } => {
@@ -104,28 +105,31 @@
                     let request = owed.get_mut(id).unwrap();
                     let verdict = VERDICTS[*verdict];
                     request.attempts[*at].1 = Some(verdict);
-                    let closed = request.done || verdict == Verdict::Ok;
+                    let closed = request.done || verdict == AttemptOutcome::Ok;
                     request.done = closed;
                     let role = [None, Some(Role::Primary), Some(Role::Replica)][usize::from(*role)];
-                    events.push(Event::Outcome(Outcome {
+                    events.push(Event::AttemptCompleted(AttemptCompletion {
                         request: *id,
-                        attempt: AttemptNo(*at as u32),
-                        member: request.attempts[*at].0.clone(),
-                        verdict,
-                        note: Some(Note { role, position: Some(now + Span::millis(*back)) }),
-                        took: Span::millis(*back),
-                        closed,
-                        report: None,
+                        attempt: AttemptNumber(*at as u32),
+                        endpoint: request.attempts[*at].0.clone(),
+                        outcome: verdict,
+                        metadata: Some(ResponseMetadata {
+                            role,
+                            position: Some(now + TimeDelta::from_millis(*back)),
+                        }),
+                        elapsed: TimeDelta::from_millis(*back),
+                        request_closed: closed,
+                        load_report: None,
                     }));
                 }
             }
             Step::List { at, state, started, primary } => {
                 let started = started.then_some(now);
                 let state = STATES[*state];
-                barred[*at] = state != ListState::Healthy;
-                events.push(Event::List(Listing::Changes(vec![Entry {
-                    state,
-                    started,
+                barred[*at] = state != Lifecycle::Active;
+                events.push(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+                    lifecycle: state,
+                    started_at: started,
                     primary: *primary,
                     ..line(*at)
                 }])));
@@ -134,24 +138,24 @@
                 for (at, barred) in barred.iter_mut().enumerate() {
                     *barred = at >= *keep;
                 }
-                events.push(Event::List(Listing::Full((0..*keep).map(line).collect())));
+                events.push(Event::EndpointUpdate(EndpointUpdate::Snapshot((0..*keep).map(line).collect())));
             }
-            Step::Probed { at, value, role } => events.push(Event::Probed {
-                member: member(*at),
-                verdict: Verdict::Ok,
-                took: Span(0),
-                report: Some(vec![*value, *role]),
+            Step::Probed { at, value, role } => events.push(Event::HealthCheckCompleted {
+                endpoint: member(*at),
+                outcome: AttemptOutcome::Ok,
+                elapsed: TimeDelta(0),
+                load_report: Some(vec![*value, *role]),
             }),
             Step::Leave { pick } => {
                 let open: Vec<RequestId> = owed.iter().filter(|(_, o)| !o.done).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(pick % open.len().max(1)) {
                     owed.get_mut(id).unwrap().done = true;
-                    events.push(Event::Gone(*id));
+                    events.push(Event::RequestAbandoned(*id));
                 }
             }
             Step::Pass { ms } => {
-                now = now + Span::millis(*ms);
-                events.push(Event::Wake);
+                now = now + TimeDelta::from_millis(*ms);
+                events.push(Event::TimerFired);
             }
         }
         for event in events.drain(..) {
@@ -159,25 +163,26 @@
             router.handle(now, event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { request, member, .. } => {
+                    Action::Send { request, endpoint: member, .. } => {
                         let at = number(&member);
                         assert!(!barred[at], "a send to a draining or removed member");
                         let open = owed.get_mut(&request).expect("a known request");
                         assert!(!open.done, "a send after the final answer");
                         assert_eq!(group_of(at), open.group, "a send outside the group");
                         let out = open.attempts.iter().filter(|a| a.1.is_none()).count();
-                        let safe = classes[open.class].effect == Effect::Safe;
+                        let safe = classes[open.class].idempotency == Idempotency::Idempotent;
                         assert!(out == 0 || (out == 1 && copies && safe), "a forbidden second copy");
                         let ran = open.attempts.iter().any(|a| a.1.is_none_or(|v| !v.never_ran()));
                         assert!(safe || !ran, "a resend of what may have run");
                         open.attempts.push((member, None));
                         assert!(open.attempts.len() <= 5, "too many attempts");
                     }
-                    Action::Refuse { request, .. } => {
+                    Action::Reject { request, .. } => {
                         let open = owed.get_mut(&request).expect("a known request");
                         assert!(!open.done, "a second final answer");
                         let ran = open.attempts.iter().any(|a| a.1.is_none_or(|v| !v.never_ran()));
-                        let safe = classes.get(open.class).is_some_and(|c| c.effect == Effect::Safe);
+                        let safe =
+                            classes.get(open.class).is_some_and(|c| c.idempotency == Idempotency::Idempotent);
                         assert!(safe || !ran, "a refusal of what may have run");
                         open.done = true;
                     }
@@ -191,7 +196,8 @@
             }
         }
         if matches!(step, Step::Pass { .. }) {
-            let late = owed.values().filter(|o| !o.done && now - o.deadline > Span::millis(100)).count();
+            let late =
+                owed.values().filter(|o| !o.done && now - o.deadline > TimeDelta::from_millis(100)).count();
             assert_eq!(late, 0, "requests without an answer after their deadline");
         }
     }
@@ -207,7 +213,7 @@
 #[test]
 fn any_order_of_events_keeps_the_rules_one_attempt_at_a_time() {
     fixed(|steps| {
-        play(&steps, false, Checks::Refuse);
+        play(&steps, false, StaleReadPolicy::Reject);
         Ok(())
     });
 }
@@ -215,7 +221,7 @@
 #[test]
 fn any_order_of_events_keeps_the_rules_with_second_copies() {
     fixed(|steps| {
-        play(&steps, true, Checks::None);
+        play(&steps, true, StaleReadPolicy::Serve);
         Ok(())
     });
 }
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -13,7 +13,12 @@
 
 #[test]
 fn a_write_that_may_have_run_fails_at_once_and_is_not_sent_again() {
-    for verdict in [Verdict::Error, Verdict::Timeout, Verdict::Reset, Verdict::Cancelled] {
+    for verdict in [
+        AttemptOutcome::Error,
+        AttemptOutcome::Timeout,
+        AttemptOutcome::ConnectionReset,
+        AttemptOutcome::Cancelled,
+    ] {
         for class in [KEYED, UNSAFE] {
             let mut host = with_primary(settings());
             let (id, actions) = host.ask(class);
@@ -31,7 +36,7 @@
     // A host short of descriptors sends nothing at all; the mark would have walked away from a sound primary.
     let mut host = with_primary(settings());
     let (id, _) = host.ask(UNSAFE);
-    assert_eq!(sends(&host.end(id, 0, 1, Verdict::Moot)), [member(1)]);
+    assert_eq!(sends(&host.end(id, 0, 1, AttemptOutcome::NotSent)), [member(1)]);
     assert_eq!(sends(&host.ask(UNSAFE).1), [member(1)]);
 }
 
@@ -44,13 +49,14 @@
         let mut attempt = 0;
         while let Some(to) = sends(&actions).first().cloned() {
             let at = (1..=3).find(|at| member(*at) == to).unwrap();
-            actions = host.end(id, attempt, at, Verdict::Error);
+            actions = host.end(id, attempt, at, AttemptOutcome::Error);
             attempt += 1;
         }
         assert!(attempt <= 2, "{attempt} attempts for a request that is itself at fault");
         assert!(refused(&actions, id).is_some());
     }
-    let used: std::collections::BTreeSet<MemberId> = (0..40).flat_map(|_| sends(&host.ask(ANY).1)).collect();
+    let used: std::collections::BTreeSet<EndpointId> =
+        (0..40).flat_map(|_| sends(&host.ask(ANY).1)).collect();
     assert_eq!(used.len(), 3, "all members still serve");
 }
 
@@ -60,20 +66,26 @@
     let routers = 500;
     let mut together = 0;
     for seed in 0..routers {
-        let many = Settings { fleet: routers as u32, ..settings() };
+        let many = Settings { router_count: routers as u32, ..settings() };
         let mut host = Host::seeded(seed, many, 2);
         // Each serves two requests, then one of two members starts anew, and two more come.
         for _ in 0..2 {
             let (id, actions) = host.ask(ANY);
-            host.now = host.now + Span::millis(20);
+            host.now = host.now + TimeDelta::from_millis(20);
             let at = if sends(&actions) == [member(1)] { 1 } else { 2 };
-            host.end(id, 0, at, Verdict::Ok);
+            host.end(id, 0, at, AttemptOutcome::Ok);
         }
         let started = Some(host.now);
-        host.tell(Event::List(Listing::Changes(vec![Entry { started, ..entry(2) }])));
-        host.tell(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
+        host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+            started_at: started,
+            ..entry(2)
+        }])));
+        host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+            lifecycle: Lifecycle::Draining,
+            ..entry(1)
+        }])));
         for _ in 0..2 {
-            host.now = host.now + Span::millis(200);
+            host.now = host.now + TimeDelta::from_millis(200);
             together += sends(&host.ask(ANY).1).len();
         }
     }
@@ -85,18 +97,20 @@
 fn a_member_that_refused_a_connection_is_cold_when_it_is_back() {
     // Seen on the bench: the list did not follow; members that came back were pushed over for good.
     // Seen on sockets: one that was cut off for a while is not, and was kept from its work for 16 s.
-    for (verdict, down) in
-        [(Verdict::Ok, false), (Verdict::Unreachable, false), (Verdict::ConnectFailed, true)]
-    {
+    for (verdict, down) in [
+        (AttemptOutcome::Ok, false),
+        (AttemptOutcome::ConnectTimeout, false),
+        (AttemptOutcome::ConnectionRefused, true),
+    ] {
         let mut host = Host::new(Settings { max_attempts: 1, ..settings() }, 1);
         let (id, _) = host.ask(ANY);
         host.end(id, 0, 1, verdict);
-        host.now = host.now + Span::millis(1_000);
+        host.now = host.now + TimeDelta::from_millis(1_000);
         let (id, actions) = host.ask(ANY);
         if !sends(&actions).is_empty() {
-            host.end(id, 0, 1, Verdict::Ok);
+            host.end(id, 0, 1, AttemptOutcome::Ok);
         }
-        host.now = host.now + Span::millis(50);
+        host.now = host.now + TimeDelta::from_millis(50);
         let burst: usize = (0..10).map(|_| sends(&host.ask(ANY).1).len()).sum();
         assert_eq!(burst == 0, down, "{burst} sends at once");
     }
@@ -113,16 +127,16 @@
     for _ in 0..400 {
         let (id, sent) = ask(&mut host);
         assert!(sent);
-        host.now = host.now + Span::millis(5);
-        host.end(id, 0, 1, Verdict::Ok);
+        host.now = host.now + TimeDelta::from_millis(5);
+        host.end(id, 0, 1, AttemptOutcome::Ok);
     }
     let (id, _) = ask(&mut host);
-    host.end(id, 0, 1, Verdict::ConnectFailed);
-    host.tell(Event::Gone(id));
+    host.end(id, 0, 1, AttemptOutcome::ConnectionRefused);
+    host.tell(Event::RequestAbandoned(id));
     host.pass(500);
     assert!((0..10).any(|_| {
         let (id, sent) = ask(&mut host);
-        host.tell(Event::Gone(id));
+        host.tell(Event::RequestAbandoned(id));
         host.pass(50);
         sent
     }));
@@ -133,9 +147,9 @@
     let mut host = with_primary(settings());
     let (id, actions) = host.ask(UNSAFE);
     assert_eq!(sends(&actions), [member(1)]);
-    let actions = host.end(id, 0, 1, Verdict::Broken);
+    let actions = host.end(id, 0, 1, AttemptOutcome::ConnectionLostBeforeSend);
     assert_eq!(sends(&actions), [member(1)], "sent again, to the same, at once");
-    host.end_with(id, 1, 1, Verdict::Ok, Some(Role::Primary));
+    host.end_with(id, 1, 1, AttemptOutcome::Ok, Some(Role::Primary));
     // It is not taken for cold: a burst of writes goes through.
     let burst: Vec<_> = (0..3).map(|_| host.ask(UNSAFE).1).collect();
     assert!(burst.iter().all(|actions| sends(actions) == [member(1)]), "{burst:?}");
@@ -150,20 +164,20 @@
     loop {
         let (id, actions) = host.ask(ANY);
         if sends(&actions).is_empty() {
-            host.tell(Event::Gone(id));
+            host.tell(Event::RequestAbandoned(id));
             break;
         }
         sent.push(id);
     }
     for id in &sent {
-        host.tell(Event::Gone(*id));
-        host.end(*id, 0, 1, Verdict::Cancelled);
+        host.tell(Event::RequestAbandoned(*id));
+        host.end(*id, 0, 1, AttemptOutcome::Cancelled);
     }
     let (id, actions) = host.ask(ANY);
     assert!(sends(&actions).is_empty(), "it is full of what nobody waits for");
     let actions = host.pass(150);
     assert_eq!(sends(&actions).len(), 1, "and done with it after the usual time");
-    host.end(id, 0, 1, Verdict::Ok);
+    host.end(id, 0, 1, AttemptOutcome::Ok);
 }
 
 #[test]
@@ -172,19 +186,19 @@
         let mut host = with_primary(settings());
         let (lost, _) = host.ask(UNSAFE);
         let (id, _) = host.ask(UNSAFE);
-        host.now = host.now + Span::millis(250);
+        host.now = host.now + TimeDelta::from_millis(250);
         if answered {
-            host.end_with(id, 0, 1, Verdict::Ok, Some(Role::Primary));
+            host.end_with(id, 0, 1, AttemptOutcome::Ok, Some(Role::Primary));
         }
-        let actions = host.tell(Event::Outcome(Outcome {
+        let actions = host.tell(Event::AttemptCompleted(AttemptCompletion {
             request: lost,
-            attempt: AttemptNo(0),
-            member: member(1),
-            verdict: Verdict::ConnectFailed,
-            note: None,
-            took: Span::millis(250),
-            closed: false,
-            report: None,
+            attempt: AttemptNumber(0),
+            endpoint: member(1),
+            outcome: AttemptOutcome::ConnectionRefused,
+            metadata: None,
+            elapsed: TimeDelta::from_millis(250),
+            request_closed: false,
+            load_report: None,
         }));
         // It stays where it was if others were answered there, and the walk begins if not.
         assert_eq!(sends(&actions), [member(if answered { 1 } else { 2 })]);
@@ -195,12 +209,12 @@
 fn a_member_that_comes_and_goes_is_remembered_across_its_turns() {
     // One good answer used to clear a member's ejections, so a flapping one was trusted anew at each turn.
     for turns in [1, 4] {
-        let mut host = Host::new(Settings { cold_share: 1.0, max_attempts: 1, ..settings() }, 1);
+        let mut host = Host::new(Settings { slow_start_floor: 1.0, max_attempts: 1, ..settings() }, 1);
         for _ in 0..turns {
             let (id, actions) = host.ask(ANY);
             assert_eq!(sends(&actions).len(), 1);
-            host.end(id, 0, 1, Verdict::ConnectFailed);
-            host.now = host.now + Span::millis(8_000);
+            host.end(id, 0, 1, AttemptOutcome::ConnectionRefused);
+            host.now = host.now + TimeDelta::from_millis(8_000);
         }
         host.probed(1, true, 0);
         let (id, _) = host.ask(FRESH);
@@ -220,16 +234,16 @@
         let at = (1..=3).find(|at| member(*at) == to).unwrap();
         let ids: Vec<RequestId> = (0..12).map(|_| host.ask(ANY).0).collect();
         if stall {
-            host.now = host.now + Span::millis(900);
-            host.tell(Event::Wake);
+            host.now = host.now + TimeDelta::from_millis(900);
+            host.tell(Event::TimerFired);
         }
         for id in ids.into_iter().chain([id]) {
             for attempt in 0..2 {
-                host.end(id, attempt, at, Verdict::Timeout);
+                host.end(id, attempt, at, AttemptOutcome::Timeout);
             }
         }
-        host.now = host.now + Span::millis(20);
-        let next: Vec<MemberId> = (0..30).flat_map(|_| sends(&host.ask(ANY).1)).collect();
+        host.now = host.now + TimeDelta::from_millis(20);
+        let next: Vec<EndpointId> = (0..30).flat_map(|_| sends(&host.ask(ANY).1)).collect();
         assert_eq!(next.contains(&to), stall, "stall: {stall}");
     }
 }
@@ -241,11 +255,11 @@
     for _ in 0..5 {
         let (_, actions) = host.ask(ANY);
         let early = |action: &Action| match action {
-            Action::Send { timeout, .. } => *timeout < Span::millis(300),
+            Action::Send { timeout, .. } => *timeout < TimeDelta::from_millis(300),
             _ => false,
         };
         assert!(!actions.iter().any(early));
-        host.now = host.now + Span::millis(500);
+        host.now = host.now + TimeDelta::from_millis(500);
     }
 }
 
@@ -274,21 +288,24 @@
     let mut host = Host::new(settings(), 2);
     let (id, actions) = host.ask(ANY);
     let first = if sends(&actions) == [member(1)] { 1 } else { 2 };
-    assert_eq!(sends(&host.end(id, 0, first, Verdict::Error)), [member(3 - first)]);
-    host.now = host.now + Span::millis(390);
-    let wait = refused(&host.end(id, 1, 3 - first, Verdict::Error), id).flatten();
-    assert!(wait.is_some_and(|wait| wait > Span(0) && wait <= Span::millis(2_000)));
+    assert_eq!(sends(&host.end(id, 0, first, AttemptOutcome::Error)), [member(3 - first)]);
+    host.now = host.now + TimeDelta::from_millis(390);
+    let wait = refused(&host.end(id, 1, 3 - first, AttemptOutcome::Error), id).flatten();
+    assert!(wait.is_some_and(|wait| wait > TimeDelta(0) && wait <= TimeDelta::from_millis(2_000)));
 }
 
 #[test]
 fn a_read_that_is_never_sent_is_refused_while_its_client_has_time_to_come_back() {
     // Seen on real sockets: with the primary down, reads with a late worth were held to the end of their time.
     let mut settings = settings();
-    settings.classes[READ.0].late_worth = 0.2;
+    settings.classes[READ.0].late_weight = 0.2;
     let mut host = Host::new(settings, 1);
-    host.tell(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        lifecycle: Lifecycle::Draining,
+        ..entry(1)
+    }])));
     let (id, actions) = host.ask(READ);
-    assert!(actions.iter().all(|action| matches!(action, Action::Wake { .. })), "it waits: {actions:?}");
+    assert!(actions.iter().all(|action| matches!(action, Action::SetTimer { .. })), "it waits: {actions:?}");
     assert!(refused(&host.pass(300), id).is_none(), "a member may still come");
     let retry_after = refused(&host.pass(195), id).expect("half its time has not passed");
     assert!(retry_after.is_some(), "and the client is told when to come back");
@@ -296,23 +313,26 @@
 
 #[test]
 fn no_retry_after_where_clients_are_not_shown_one() {
-    let mut host = Host::new(Settings { retry_after: false, max_attempts: 1, ..settings() }, 2);
+    let mut host = Host::new(Settings { retry_after_allowed: false, max_attempts: 1, ..settings() }, 2);
     let (id, actions) = host.ask(ANY);
     let at = if sends(&actions) == [member(1)] { 1 } else { 2 };
-    assert_eq!(refused(&host.end(id, 0, at, Verdict::Error), id), Some(None));
+    assert_eq!(refused(&host.end(id, 0, at, AttemptOutcome::Error), id), Some(None));
 }
 
 #[test]
 fn nothing_goes_to_a_draining_or_removed_member() {
-    for state in [ListState::Draining, ListState::Gone] {
+    for state in [Lifecycle::Draining, Lifecycle::Removed] {
         let mut host = Host::new(settings(), 2);
-        host.tell(Event::List(Listing::Changes(vec![Entry { state, ..entry(1) }])));
+        host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+            lifecycle: state,
+            ..entry(1)
+        }])));
         for _ in 0..10 {
             assert!(!sends(&host.ask(ANY).1).contains(&member(1)));
         }
     }
     let mut host = Host::new(settings(), 2);
-    host.tell(Event::List(Listing::Full(vec![entry(2)])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![entry(2)])));
     assert!(!sends(&host.ask(KEYED).1).contains(&member(1)), "absent from a whole list is gone");
 }
 
@@ -320,11 +340,17 @@
 fn where_removal_does_not_bind_only_a_drain_does() {
     let soft = Settings { soft_removal: true, ..settings() };
     let mut host = Host::new(soft.clone(), 1);
-    host.tell(Event::List(Listing::Changes(vec![Entry { state: ListState::Gone, ..entry(1) }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        lifecycle: Lifecycle::Removed,
+        ..entry(1)
+    }])));
     assert_eq!(sends(&host.ask(ANY).1), [member(1)]);
     let mut host = Host::new(soft, 1);
-    host.tell(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
-    host.tell(Event::List(Listing::Full(vec![])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        lifecycle: Lifecycle::Draining,
+        ..entry(1)
+    }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![])));
     assert!(sends(&host.ask(ANY).1).is_empty(), "it was seen draining before it left the list");
 }
 
@@ -332,7 +358,10 @@
 fn a_started_member_gets_no_burst() {
     let mut host = Host::new(settings(), 1);
     let started = Some(host.now);
-    host.tell(Event::List(Listing::Changes(vec![Entry { started, ..entry(1) }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        started_at: started,
+        ..entry(1)
+    }])));
     let burst: usize = (0..50).map(|_| sends(&host.ask(ANY).1).len()).sum();
     assert!(burst <= 2, "{burst} sends to a cold member of unknown size");
 }
@@ -345,14 +374,14 @@
     let serve = |host: &mut Host, every: i64, count: usize| {
         let mut served = 0;
         for _ in 0..count {
-            host.now = host.now + Span::millis(every - 5);
+            host.now = host.now + TimeDelta::from_millis(every - 5);
             let (id, actions) = host.ask_within(ANY, 400);
             let to = sends(&actions);
             let at = if to == [member(1)] { 1 } else { 2 };
             served += to.len();
-            host.now = host.now + Span::millis(5);
+            host.now = host.now + TimeDelta::from_millis(5);
             if !to.is_empty() {
-                host.end(id, 0, at, Verdict::Ok);
+                host.end(id, 0, at, AttemptOutcome::Ok);
             }
         }
         served
@@ -360,8 +389,14 @@
     // Ten a second, for two seconds.
     assert_eq!(serve(&mut host, 100, 20), 20);
     let started = Some(host.now);
-    host.tell(Event::List(Listing::Changes(vec![Entry { started, ..entry(2) }])));
-    host.tell(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        started_at: started,
+        ..entry(2)
+    }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        lifecycle: Lifecycle::Draining,
+        ..entry(1)
+    }])));
     let sent = serve(&mut host, 50, 40);
     // Two seconds of three times what a fifth to a third of a member's ten a second and some is.
     assert!((10..=21).contains(&sent), "{sent} sends");
@@ -379,9 +414,9 @@
             if let Some(at) = (1..=4).find(|at| to.contains(&member(*at))) {
                 host.answer(id, 0, at, 350);
             }
-            host.now = host.now + Span::millis(250);
+            host.now = host.now + TimeDelta::from_millis(250);
         }
-        host.now = host.now + Span::millis(4_500);
+        host.now = host.now + TimeDelta::from_millis(4_500);
         let (id, actions) = host.ask(ANY);
         usize::from(refused(&actions, id).is_some())
     };
@@ -398,12 +433,18 @@
         let (id, actions) = host.ask(ANY);
         for (attempt, to) in sends(&actions).into_iter().enumerate() {
             let at = if to == member(1) { 1 } else { 2 };
-            host.end(id, attempt as u32, at, Verdict::Full);
+            host.end(id, attempt as u32, at, AttemptOutcome::Rejected);
         }
     }
     let started = Some(host.now);
-    host.tell(Event::List(Listing::Changes(vec![Entry { started, ..entry(2) }])));
-    host.tell(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        started_at: started,
+        ..entry(2)
+    }])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+        lifecycle: Lifecycle::Draining,
+        ..entry(1)
+    }])));
     let burst: usize = (0..50).map(|_| sends(&host.ask(ANY).1).len()).sum();
     assert!(burst <= 2, "{burst} sends");
 }
@@ -418,9 +459,9 @@
         let mut attempt = 0;
         while let Some(to) = sends(&actions).first() {
             all += 1;
-            host.now = host.now + Span::millis(1);
+            host.now = host.now + TimeDelta::from_millis(1);
             let at = if *to == member(1) { 1 } else { 2 };
-            actions = host.end(id, attempt, at, Verdict::Full);
+            actions = host.end(id, attempt, at, AttemptOutcome::Rejected);
             attempt += 1;
         }
     }
@@ -437,7 +478,7 @@
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
-    assert_eq!(timeout, Some(Span::millis(1_000)), "the aim is 400 ms");
+    assert_eq!(timeout, Some(TimeDelta::from_millis(1_000)), "the aim is 400 ms");
     let meanwhile = host.pass(900);
     assert!(refused(&meanwhile, id).is_none() && !failed(&meanwhile, id));
 }
@@ -461,10 +502,10 @@
         let (id, mut actions) = host.ask(ANY);
         let mut attempt = 0;
         while let Some(to) = sends(&actions).first().cloned() {
-            host.now = host.now + Span::millis(1);
+            host.now = host.now + TimeDelta::from_millis(1);
             let at = (1..=3).find(|at| member(*at) == to).unwrap();
             to_bad += usize::from(at == 2);
-            let verdict = if at == 2 { Verdict::Error } else { Verdict::Ok };
+            let verdict = if at == 2 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
             actions = host.end(id, attempt, at, verdict);
             attempt += 1;
         }
@@ -481,7 +522,7 @@
     let (mut attempts, mut out) = (1, true);
     for _ in 0..150 {
         if out {
-            let actions = host.end(id, attempts - 1, 1, Verdict::Full);
+            let actions = host.end(id, attempts - 1, 1, AttemptOutcome::Rejected);
             assert!(refused(&actions, id).is_none() && !failed(&actions, id), "given up after {attempts}");
         }
         let sent = sends(&host.pass(10));
@@ -495,17 +536,17 @@
 #[test]
 fn who_is_forgotten_leaves_nothing_behind_and_may_come_back() {
     let mut host = with_primary(settings());
-    let gone = Entry { state: ListState::Gone, ..entry(1) };
-    host.tell(Event::List(Listing::Changes(vec![gone])));
-    host.tell(Event::List(Listing::Forgotten(vec![member(1), member(9)])));
+    let gone = EndpointEntry { lifecycle: Lifecycle::Removed, ..entry(1) };
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![gone])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Evicted(vec![member(1), member(9)])));
     // Who is in service is not forgotten, whoever asks for it.
-    host.tell(Event::List(Listing::Forgotten(vec![member(2)])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Evicted(vec![member(2)])));
     let (_, actions) = host.ask(ANY);
     assert!(!sends(&actions).contains(&member(1)) && !sends(&actions).is_empty());
-    host.tell(Event::List(Listing::Changes(vec![entry(1)])));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![entry(1)])));
     let (id, actions) = host.ask(UNSAFE);
     assert!(!sends(&actions).is_empty());
-    host.end_with(id, 0, 1, Verdict::Ok, Some(Role::Primary));
+    host.end_with(id, 0, 1, AttemptOutcome::Ok, Some(Role::Primary));
 }
 
 #[test]
@@ -520,11 +561,11 @@
     assert_eq!(sends(&actions), [member(1)]);
     let (held, actions) = host.ask(FRESH);
     assert!(sends(&actions).is_empty(), "one at a time");
-    let actions = host.end_with(trial, 0, 1, Verdict::Ok, Some(Role::Primary));
+    let actions = host.end_with(trial, 0, 1, AttemptOutcome::Ok, Some(Role::Primary));
     assert_eq!(sends(&actions), [member(1), member(1)], "its answer shows that the member lives");
-    host.end_with(held, 0, 1, Verdict::Ok, Some(Role::Primary));
-    host.end_with(write, 0, 1, Verdict::Ok, Some(Role::Primary));
-    assert!(lost.iter().all(|id| !host.end(*id, 0, 1, Verdict::Timeout).is_empty()), "they fail");
+    host.end_with(held, 0, 1, AttemptOutcome::Ok, Some(Role::Primary));
+    host.end_with(write, 0, 1, AttemptOutcome::Ok, Some(Role::Primary));
+    assert!(lost.iter().all(|id| !host.end(*id, 0, 1, AttemptOutcome::Timeout).is_empty()), "they fail");
 }
 
 #[test]
@@ -538,11 +579,11 @@
             if at == 3 {
                 silent += usize::from(round >= 20);
             } else {
-                host.now = host.now + Span::millis(10);
-                host.end(id, 0, at, Verdict::Ok);
+                host.now = host.now + TimeDelta::from_millis(10);
+                host.end(id, 0, at, AttemptOutcome::Ok);
             }
         }
-        host.now = host.now + Span::millis(40);
+        host.now = host.now + TimeDelta::from_millis(40);
     }
     assert_eq!(silent, 0);
 }
@@ -557,7 +598,7 @@
 
 #[test]
 fn a_second_copy_goes_elsewhere_and_the_slower_one_is_called_off() {
-    let mut host = Host::new(Settings { second_copies: true, ..settings() }, 3);
+    let mut host = Host::new(Settings { hedging_allowed: true, ..settings() }, 3);
     for _ in 0..10 {
         let (id, actions) = host.ask(ANY);
         let to = sends(&actions).remove(0);
@@ -569,19 +610,19 @@
     assert_eq!(copies.len(), 1);
     assert_ne!(copies[0], first);
     let at = (1..=3).find(|at| member(*at) == copies[0]).unwrap();
-    let actions = host.end(id, 1, at, Verdict::Ok);
-    assert!(actions.contains(&Action::Cancel { request: id, attempt: AttemptNo(0) }));
+    let actions = host.end(id, 1, at, AttemptOutcome::Ok);
+    assert!(actions.contains(&Action::Cancel { request: id, attempt: AttemptNumber(0) }));
 }
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_again_after_a_failure() {
-    let asked = Settings { discovery: Discovery::Ask, ..settings() };
+    let asked = Settings { discovery: Discovery::Poll, ..settings() };
     let mut host = Host::new(asked, 0);
     let mut actions = Vec::new();
-    let mut router = Router::new(1, Settings { discovery: Discovery::Ask, ..settings() });
-    router.handle(host.now, Event::List(Listing::Full(vec![])), &mut actions);
+    let mut router = Router::new(1, Settings { discovery: Discovery::Poll, ..settings() });
+    router.handle(host.now, Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![])), &mut actions);
     assert!(actions.contains(&Action::Subscribe));
-    host.tell(Event::List(Listing::Failed));
+    host.tell(Event::EndpointUpdate(EndpointUpdate::PollFailed));
     assert!(host.pass(1_100).contains(&Action::Subscribe));
 }
 
@@ -591,15 +632,15 @@
     let (id, actions) = host.ask(ANY);
     assert!(sends(&actions).is_empty());
     assert!(refused(&host.pass(400), id).is_some(), "a group without members still gets its answer");
-    host.end(RequestId(999), 7, 9, Verdict::Ok);
-    host.tell(Event::Gone(RequestId(999)));
-    host.tell(Event::Streaming(RequestId(999)));
+    host.end(RequestId(999), 7, 9, AttemptOutcome::Ok);
+    host.tell(Event::RequestAbandoned(RequestId(999)));
+    host.tell(Event::ResponseStarted(RequestId(999)));
     for report in [vec![], vec![f64::NAN, f64::INFINITY], vec![1e300, -1e300, 5.0]] {
-        host.tell(Event::Probed {
-            member: member(1),
-            verdict: Verdict::Ok,
-            took: Span(-5),
-            report: Some(report),
+        host.tell(Event::HealthCheckCompleted {
+            endpoint: member(1),
+            outcome: AttemptOutcome::Ok,
+            elapsed: TimeDelta(-5),
+            load_report: Some(report),
         });
     }
     let (id, actions) = host.ask(ClassId(99));
@@ -612,21 +653,21 @@
     let mut host = with_primary(settings());
     let (_, actions) = host.ask(UNSAFE);
     assert_eq!(sends(&actions), [member(1)]);
-    host.now = host.now + Span::millis(700);
+    host.now = host.now + TimeDelta::from_millis(700);
     host.probed(1, true, 0);
     assert!(sends(&host.ask(KEYED).1).is_empty(), "the silent primary is fed nothing more");
-    host.now = host.now + Span::millis(20);
+    host.now = host.now + TimeDelta::from_millis(20);
     assert_eq!(sends(&host.probed(2, true, 0)), [member(2)], "a primary shown later gets what waited");
 }
 
 #[test]
 fn held_work_goes_out_by_worth() {
     let mut settings = settings();
-    settings.classes[FRESH.0].worth = 1.0;
-    settings.classes[KEYED.0].worth = 6.0;
+    settings.classes[FRESH.0].priority_weight = 1.0;
+    settings.classes[KEYED.0].priority_weight = 6.0;
     let mut host = Host::new(settings, 1);
     let (first, _) = host.ask(UNSAFE);
-    host.end_with(first, 0, 1, Verdict::Miss, Some(Role::Replica));
+    host.end_with(first, 0, 1, AttemptOutcome::NotEligible, Some(Role::Replica));
     let (low, _) = host.ask(FRESH);
     let (high, _) = host.ask(KEYED);
     let actions = host.probed(1, true, 0);
@@ -649,21 +690,21 @@
 #[test]
 fn second_copies_come_back_after_a_surge() {
     // Found on review: every time-out of a surge was charged to the purse, and the debt outlived the surge.
-    let mut host = Host::new(Settings { second_copies: true, ..settings() }, 3);
-    let number = |to: &MemberId| (1..=3).find(|at| member(*at) == *to).unwrap();
+    let mut host = Host::new(Settings { hedging_allowed: true, ..settings() }, 3);
+    let number = |to: &EndpointId| (1..=3).find(|at| member(*at) == *to).unwrap();
     for _ in 0..300 {
         let (id, actions) = host.ask(ANY);
-        host.now = host.now + Span::millis(395);
+        host.now = host.now + TimeDelta::from_millis(395);
         for to in sends(&actions) {
-            host.end(id, 0, number(&to), Verdict::Timeout);
+            host.end(id, 0, number(&to), AttemptOutcome::Timeout);
         }
     }
-    host.now = host.now + Span::millis(10_000);
+    host.now = host.now + TimeDelta::from_millis(10_000);
     for _ in 0..200 {
         let (id, actions) = host.ask(ANY);
-        host.now = host.now + Span::millis(20);
+        host.now = host.now + TimeDelta::from_millis(20);
         for to in sends(&actions) {
-            host.end(id, 0, number(&to), Verdict::Ok);
+            host.end(id, 0, number(&to), AttemptOutcome::Ok);
         }
     }
     let (_, actions) = host.ask(ANY);
@@ -693,17 +734,24 @@
             let (id, actions) = host.ask(ANY);
             out.extend(sends(&actions).into_iter().map(|to| (id, to)));
         }
-        let state = ListState::Draining;
-        host.tell(Event::List(Listing::Changes(wave.map(|at| Entry { state, ..entry(at) }).to_vec())));
+        let state = Lifecycle::Draining;
+        host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(
+            wave.map(|at| EndpointEntry { lifecycle: state, ..entry(at) }).to_vec(),
+        )));
         for (id, to) in out {
             let at = (1..=6).find(|at| member(*at) == to).unwrap();
-            host.end(id, 0, at, if wave.contains(&at) { Verdict::Reset } else { Verdict::Ok });
+            host.end(
+                id,
+                0,
+                at,
+                if wave.contains(&at) { AttemptOutcome::ConnectionReset } else { AttemptOutcome::Ok },
+            );
         }
-        host.now = host.now + Span::millis(500);
-        let to: Vec<MemberId> = (0..8).flat_map(|_| sends(&host.ask(ANY).1)).collect();
+        host.now = host.now + TimeDelta::from_millis(500);
+        let to: Vec<EndpointId> = (0..8).flat_map(|_| sends(&host.ask(ANY).1)).collect();
         assert!(to.len() >= 4 && !wave.iter().any(|at| to.contains(&member(*at))), "{to:?}");
-        host.now = host.now + Span::millis(1_500);
-        host.tell(Event::Wake);
+        host.now = host.now + TimeDelta::from_millis(1_500);
+        host.tell(Event::TimerFired);
     }
 }
 
@@ -711,21 +759,21 @@
 fn a_member_that_hung_as_primary_is_none_once_it_answers_as_replica() {
     // Seen on the bench: two writes were out at a primary when it hung. A probe told of it as primary once more;
     // then the writes came back from it as from a replica, and a read went there for data too old.
-    let mut host = with_primary(Settings { checks: Checks::None, ..settings() });
+    let mut host = with_primary(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     let (write, _) = host.ask(UNSAFE);
     let sent = host.now;
-    host.now = host.now + Span::millis(300);
+    host.now = host.now + TimeDelta::from_millis(300);
     host.probed(1, true, 0);
-    host.now = host.now + Span::millis(400);
-    host.tell(Event::Outcome(Outcome {
+    host.now = host.now + TimeDelta::from_millis(400);
+    host.tell(Event::AttemptCompleted(AttemptCompletion {
         request: write,
-        attempt: AttemptNo(0),
-        member: member(1),
-        verdict: Verdict::Error,
-        note: Some(Note { role: Some(Role::Replica), position: None }),
-        took: host.now - sent,
-        closed: false,
-        report: None,
+        attempt: AttemptNumber(0),
+        endpoint: member(1),
+        outcome: AttemptOutcome::Error,
+        metadata: Some(ResponseMetadata { role: Some(Role::Replica), position: None }),
+        elapsed: host.now - sent,
+        request_closed: false,
+        load_report: None,
     }));
     host.pass(800);
     let (_, actions) = host.ask(READ);
@@ -735,15 +783,15 @@
 #[test]
 fn a_session_sees_its_write_whose_answer_nobody_waited_for() {
     // Seen on the bench: a client left a few milliseconds after the commit, came back, and read from before it.
-    for verdict in [Verdict::Cancelled, Verdict::Timeout, Verdict::Reset] {
-        let mut host = with_primary(Settings { checks: Checks::None, ..settings() });
+    for verdict in [AttemptOutcome::Cancelled, AttemptOutcome::Timeout, AttemptOutcome::ConnectionReset] {
+        let mut host = with_primary(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
         host.probed(2, false, 10);
         host.probed(3, false, 10);
         let (write, _) = host.ask_as(UNSAFE, Some(7));
-        host.now = host.now + Span::millis(5);
-        host.tell(Event::Gone(write));
+        host.now = host.now + TimeDelta::from_millis(5);
+        host.tell(Event::RequestAbandoned(write));
         host.end(write, 0, 1, verdict);
-        host.now = host.now + Span::millis(20);
+        host.now = host.now + TimeDelta::from_millis(20);
         for _ in 0..8 {
             let (_, actions) = host.ask_as(OWN, Some(7));
             let to = sends(&actions);
@@ -760,21 +808,21 @@
 
 #[test]
 fn a_read_that_waited_for_its_connection_is_fit_only_while_the_data_there_is() {
-    let mut host = with_primary(Settings { checks: Checks::None, ..settings() });
+    let mut host = with_primary(Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() });
     host.probed(2, false, 600);
     let (read, actions) = host.ask(READ);
     assert_eq!(sends(&actions), [member(2)]);
-    host.now = host.now + Span::millis(390);
-    assert!(host.router.still_fit(host.now, read, &member(2)), "990 ms old, where 1,000 will do");
-    host.now = host.now + Span::millis(20);
-    assert!(!host.router.still_fit(host.now, read, &member(2)));
-    assert!(host.router.still_fit(host.now, read, &member(1)), "a primary stands at the present");
+    host.now = host.now + TimeDelta::from_millis(390);
+    assert!(host.router.still_eligible(host.now, read, &member(2)), "990 ms old, where 1,000 will do");
+    host.now = host.now + TimeDelta::from_millis(20);
+    assert!(!host.router.still_eligible(host.now, read, &member(2)));
+    assert!(host.router.still_eligible(host.now, read, &member(1)), "a primary stands at the present");
     host.probed(2, false, 0);
-    assert!(host.router.still_fit(host.now, read, &member(2)));
-    host.end(read, 0, 2, Verdict::Ok);
-    assert!(!host.router.still_fit(host.now, read, &member(2)), "over");
+    assert!(host.router.still_eligible(host.now, read, &member(2)));
+    host.end(read, 0, 2, AttemptOutcome::Ok);
+    assert!(!host.router.still_eligible(host.now, read, &member(2)), "over");
     let (write, _) = host.ask(UNSAFE);
-    assert!(host.router.still_fit(host.now, write, &member(3)), "a write needs no position");
+    assert!(host.router.still_eligible(host.now, write, &member(3)), "a write needs no position");
 }
 
 #[test]
@@ -786,10 +834,10 @@
             class: [READ, UNSAFE][at as usize % 2],
             tenant: None,
             session: None,
-            left: Span::millis(200),
+            time_remaining: TimeDelta::from_millis(200),
             group: GroupId(770_000 + at as i64),
-            last_write: None,
-            cost: None,
+            since_last_write: None,
+            expected_work: None,
         };
         host.tell(Event::Request(request));
     }
@@ -809,7 +857,7 @@
         let (id, actions) = host.ask(ANY);
         let to = sends(&actions);
         let at = (1..=4).find(|at| to == [member(*at)]).expect("sent at once");
-        let first = slow.is_none() && host.now > Time(1_000_000_000) + Span::millis(1_000);
+        let first = slow.is_none() && host.now > Timestamp(1_000_000_000) + TimeDelta::from_millis(1_000);
         host.answer(id, 0, at, if first { 300 } else { 5 });
         if first {
             slow = Some(at);
@@ -817,7 +865,7 @@
             since_slow += 1;
             again += usize::from(slow == Some(at));
         }
-        host.now = host.now + Span::millis(20);
+        host.now = host.now + TimeDelta::from_millis(20);
     }
     assert!(since_slow > 500);
     assert!(again > since_slow / 20, "{again} of {since_slow} reads");
@@ -828,9 +876,9 @@
     let mut host = Host::new(settings(), 2);
     let (id, actions) = host.ask(ANY);
     let at = if sends(&actions) == [member(1)] { 1 } else { 2 };
-    let moved = Entry { group: GroupId(7), ..entry(at) };
-    host.tell(Event::List(Listing::Changes(vec![moved])));
-    assert!(!host.router.still_fit(host.now, id, &member(at)), "nor what waits for its connection");
+    let moved = EndpointEntry { group: GroupId(7), ..entry(at) };
+    host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![moved])));
+    assert!(!host.router.still_eligible(host.now, id, &member(at)), "nor what waits for its connection");
     for _ in 0..20 {
         assert!(!sends(&host.ask(ANY).1).contains(&member(at)));
     }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -19,8 +19,8 @@
 
 /// When the second member was sent something after it started, by all of so many routers together that carry this part
 /// of what the members can do; and when it started.
-fn sends_to_the_started(routers: usize, load: f64, seed: u64) -> (Time, Vec<Time>) {
-    let settings = Settings { fleet: routers as u32, ..settings() };
+fn sends_to_the_started(routers: usize, load: f64, seed: u64) -> (Timestamp, Vec<Timestamp>) {
+    let settings = Settings { router_count: routers as u32, ..settings() };
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
     let mut hosts: Vec<Host> =
         (0..routers).map(|at| Host::seeded(seed * 1_000 + at as u64, settings.clone(), MEMBERS)).collect();
@@ -28,19 +28,22 @@
     let chance = load * CAPACITY * MEMBERS as f64 * TICK_MS as f64 / 1_000.0;
     let (mut started, mut sent) = (None, Vec::new());
     for turn in 0..(20_000 / TICK_MS) {
-        let now = Time(1_000_000_000) + Span::millis(turn * TICK_MS);
+        let now = Timestamp(1_000_000_000) + TimeDelta::from_millis(turn * TICK_MS);
         if turn * TICK_MS == 12_000 {
             started = Some(now);
             for host in &mut hosts {
                 host.now = now;
-                host.tell(Event::List(Listing::Changes(vec![Entry { started, ..entry(2) }])));
+                host.tell(Event::EndpointUpdate(EndpointUpdate::Delta(vec![EndpointEntry {
+                    started_at: started,
+                    ..entry(2)
+                }])));
             }
         }
         let (done, still): (Vec<_>, Vec<_>) = out.into_iter().partition(|(at, ..)| *at <= turn);
         out = still;
         for (_, router, id, at) in done {
             hosts[router].now = now;
-            hosts[router].end(id, 0, at, Verdict::Ok);
+            hosts[router].end(id, 0, at, AttemptOutcome::Ok);
         }
         let mut arrivals = chance.floor() as usize;
         arrivals += usize::from(f64::from(dice.next_u32()) / f64::from(u32::MAX) < chance.fract());
@@ -58,7 +61,7 @@
         }
         for host in &mut hosts {
             host.now = now;
-            host.tell(Event::Wake);
+            host.tell(Event::TimerFired);
         }
     }
     (started.unwrap(), sent)
@@ -68,15 +71,16 @@
 fn fullest_window(routers: usize, load: f64) -> f64 {
     let settings = settings();
     let (started, sent) = sends_to_the_started(routers, load, 7);
-    let span = settings.cold_span.0 as f64;
-    let seconds = settings.fall_span.0 as f64 / 1e6;
-    let part = |from: Time| {
-        let warmth = settings.cold_share + (1.0 - settings.cold_share) * (from - started).0 as f64 / span;
-        let count = sent.iter().filter(|at| **at >= from && **at < from + settings.fall_span).count();
+    let span = settings.slow_start_window.0 as f64;
+    let seconds = settings.overload_window.0 as f64 / 1e6;
+    let part = |from: Timestamp| {
+        let warmth =
+            settings.slow_start_floor + (1.0 - settings.slow_start_floor) * (from - started).0 as f64 / span;
+        let count = sent.iter().filter(|at| **at >= from && **at < from + settings.overload_window).count();
         if warmth >= 1.0 {
             0.0
         } else {
-            count as f64 / budget(settings.fall_multiple * warmth * CAPACITY * seconds)
+            count as f64 / budget(settings.overload_multiple * warmth * CAPACITY * seconds)
         }
     };
     sent.iter().map(|from| part(*from)).fold(0.0, f64::max)
@@ -101,20 +105,20 @@
 fn a_fresh_router_begins_to_serve_from_members_that_have_all_just_started() {
     // Nothing has been served by which to tell what they can; the page's budget allows a few calls all the same.
     for fleet in [1, 3, 30] {
-        let settings = Settings { fleet, ..settings() };
+        let settings = Settings { router_count: fleet, ..settings() };
         let mut hosts: Vec<Host> =
             (0..u64::from(fleet)).map(|seed| Host::seeded(seed, settings.clone(), 0)).collect();
         let began = hosts[0].now;
         for host in &mut hosts {
             let started = Some(began);
-            let entries = (1..=3).map(|at| Entry { started, ..entry(at) }).collect();
-            host.tell(Event::List(Listing::Full(entries)));
+            let entries = (1..=3).map(|at| EndpointEntry { started_at: started, ..entry(at) }).collect();
+            host.tell(Event::EndpointUpdate(EndpointUpdate::Snapshot(entries)));
         }
         let (mut served, mut asked) = (0, 0);
         let mut first_window = [0_usize; 4];
         // Ten requests a second, of the whole fleet.
         for turn in 0..80_i64 {
-            let now = began + Span::millis(turn * 100);
+            let now = began + TimeDelta::from_millis(turn * 100);
             let at = turn as usize % hosts.len();
             let host = &mut hosts[at];
             host.now = now;
@@ -122,9 +126,9 @@
             asked += 1;
             if let Some(to) = sends(&actions).first() {
                 let at = (1..=3).find(|at| member(*at) == *to).unwrap();
-                first_window[at] += usize::from(now < began + settings.fall_span);
-                host.now = now + Span::millis(20);
-                host.end(id, 0, at, Verdict::Ok);
+                first_window[at] += usize::from(now < began + settings.overload_window);
+                host.now = now + TimeDelta::from_millis(20);
+                host.end(id, 0, at, AttemptOutcome::Ok);
                 served += 1;
             }
         }
--- a/crates/service-registry/src/client.rs
+++ b/crates/service-registry/src/client.rs
@@ -13,7 +13,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, Uri};
 use pooler_interrupted_io::Resuming;
-use pooler_routing::Span;
+use pooler_routing::TimeDelta;
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use smol_hyper::rt::FuturesIo;
@@ -43,7 +43,7 @@
         /// What it said.
         status: u16,
         /// When to come back, if it said so.
-        retry_after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     },
     /// The body is of no kind that is read here.
     #[error("a body of type '{0}'")]
@@ -326,7 +326,7 @@
     if !status.is_success() {
         let seconds = response.headers().get(header::RETRY_AFTER).and_then(|value| value.to_str().ok());
         let retry_after = seconds.and_then(|text| text.trim().parse::<i64>().ok()).filter(|s| *s >= 0);
-        let retry_after = retry_after.map(|seconds| Span::millis(seconds.saturating_mul(1_000)));
+        let retry_after = retry_after.map(|seconds| TimeDelta::from_millis(seconds.saturating_mul(1_000)));
         return Err(CallError::Status { status: status.as_u16(), retry_after });
     }
     let text = |name| response.headers().get(name).and_then(|value: &HeaderValue| value.to_str().ok());
--- a/crates/service-registry/src/eureka/lease.rs
+++ b/crates/service-registry/src/eureka/lease.rs
@@ -2,11 +2,11 @@
 //! nothing: what is due is tried, and tried again later. No I/O, no clock.
 
 use super::model::Status;
-use pooler_routing::{Span, Time};
+use pooler_routing::{TimeDelta, Timestamp};
 
 /// A step that failed is tried again after this.
-const AGAIN: Span = Span::millis(1_000);
-const LONGEST_AGAIN: Span = Span::millis(30_000);
+const AGAIN: TimeDelta = TimeDelta::from_millis(1_000);
+const LONGEST_AGAIN: TimeDelta = TimeDelta::from_millis(30_000);
 
 /// What to tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,19 +33,19 @@
 /// The registration as it stands.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    renew: Span,
+    renew: TimeDelta,
     wanted: Option<Status>,
     told: Option<Status>,
     /// When this pooler last changed itself, in ms; later with each change.
     dirty_ms: i64,
-    next: Time,
+    next: Timestamp,
     failures: u32,
 }
 
 impl Lease {
     /// One that is to be renewed this often, starting at `now` with [`Status::Starting`].
     #[must_use]
-    pub fn new(renew: Span, now: Time) -> Self {
+    pub fn new(renew: TimeDelta, now: Timestamp) -> Self {
         Self {
             renew,
             wanted: Some(Status::Starting),
@@ -57,7 +57,7 @@
     }
 
     /// Wants another status told; `None` for the end. It is due at once, whatever failed before.
-    pub fn want(&mut self, now: Time, status: Option<Status>) {
+    pub fn want(&mut self, now: Timestamp, status: Option<Status>) {
         if self.wanted != status {
             self.wanted = status;
             self.dirty_ms = (now.0 / 1_000).max(self.dirty_ms + 1);
@@ -73,13 +73,13 @@
 
     /// When something is due; `None` once the registry knows that this pooler has ended.
     #[must_use]
-    pub fn due(&self) -> Option<Time> {
+    pub fn due(&self) -> Option<Timestamp> {
         (self.wanted.is_some() || self.told.is_some()).then_some(self.next)
     }
 
     /// What to tell, if it is due.
     #[must_use]
-    pub fn act(&self, now: Time) -> Option<Act> {
+    pub fn act(&self, now: Timestamp) -> Option<Act> {
         if self.due().is_none_or(|due| due > now) {
             return None;
         }
@@ -92,7 +92,7 @@
     }
 
     /// What came of it.
-    pub fn done(&mut self, now: Time, act: Act, came: Came) {
+    pub fn done(&mut self, now: Timestamp, act: Act, came: Came) {
         match (act, came) {
             (Act::Register(status) | Act::Renew(status), Came::Taken) => {
                 self.told = Some(status);
@@ -106,7 +106,7 @@
                 self.next = now;
             }
             _ => {
-                let again = AGAIN.times(f64::from(1_u32 << self.failures.min(5))).min(LONGEST_AGAIN);
+                let again = AGAIN.mul_f64(f64::from(1_u32 << self.failures.min(5))).min(LONGEST_AGAIN);
                 self.failures += 1;
                 self.next = now + again;
             }
--- a/crates/service-registry/src/eureka/mapping.rs
+++ b/crates/service-registry/src/eureka/mapping.rs
@@ -3,8 +3,8 @@
 
 use super::model::{ActionType, Instance, Status};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use pooler_routing::membership::{Claim, Evidence};
-use pooler_routing::{GroupId, ListState, MemberId, Time};
+use pooler_routing::membership::{EndpointClaim, RecordAuthority, RecordVersion};
+use pooler_routing::{EndpointId, GroupId, Lifecycle, Timestamp};
 use prefix_trie::PrefixMap;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -95,15 +95,15 @@
     /// # Errors
     ///
     /// When it can't be a member. One that has left is named whatever else it says.
-    pub fn claim(&self, instance: &Instance, server: usize) -> Result<Claim, Refused> {
+    pub fn claim(&self, instance: &Instance, server: usize) -> Result<EndpointClaim, Refused> {
         if !self.apps.contains(&instance.app.to_ascii_uppercase()) {
             return Err(Refused::NotOurs);
         }
         let meta = |key: &str| instance.metadata.get(key).map(String::as_str).filter(|text| !text.is_empty());
         let state = match (instance.action, instance.status) {
-            (ActionType::Deleted, _) => ListState::Gone,
-            (_, Status::Up) => ListState::Healthy,
-            _ => ListState::Draining,
+            (ActionType::Deleted, _) => Lifecycle::Removed,
+            (_, Status::Up) => Lifecycle::Active,
+            _ => Lifecycle::Draining,
         };
         let place = self.place(instance);
         let group = match meta(&self.group_key) {
@@ -112,27 +112,33 @@
         };
         // Who drains or is gone is taken at its word, though the rest of what it says can't be used.
         let (place, group) = match state {
-            ListState::Healthy => (Some(place?), group?),
+            Lifecycle::Active => (Some(place?), group?),
             _ => (place.ok(), group.ok().flatten()),
         };
         let zone = meta(&self.zone_key).map(str::to_owned);
         let zone = zone.or_else(|| place.as_ref().and_then(|(_, zone)| zone.as_deref().map(str::to_owned)));
         let started = meta(&self.started_key).and_then(|text| text.parse::<i64>().ok()).filter(|ms| *ms > 0);
-        let started = started.map(|ms| Time(ms.saturating_mul(1_000)));
+        let started = started.map(|ms| Timestamp(ms.saturating_mul(1_000)));
         // A registration that is not ready yet comes before the same registration in service.
         let ready =
-            !matches!(instance.status, Status::Starting | Status::Unknown) || state == ListState::Gone;
+            !matches!(instance.status, Status::Starting | Status::Unknown) || state == Lifecycle::Removed;
         let stamp = instance.dirty_ms.saturating_mul(2).saturating_add(i64::from(ready));
-        let memory = (self.lifts == Lifts::Override).then_some((server, instance.registered_ms));
-        Ok(Claim {
-            member: MemberId(Arc::from(instance.id.as_str())),
+        let authority = RecordAuthority { server, lease_started_ms: instance.registered_ms };
+        let authority = (self.lifts == Lifts::Override).then_some(authority);
+        Ok(EndpointClaim {
+            endpoint: EndpointId(Arc::from(instance.id.as_str())),
             address: place.map(|(address, _)| address),
             group: group.map(GroupId),
             zone: zone.unwrap_or_default(),
             primary: meta(&self.role_key).is_some_and(|role| role == self.primary),
-            started,
-            state,
-            evidence: Evidence { started, stamp, memory, told: instance.updated_ms },
+            started_at: started,
+            lifecycle: state,
+            version: RecordVersion {
+                started_at: started,
+                change_stamp: stamp,
+                authority,
+                updated_at_ms: instance.updated_ms,
+            },
         })
     }
 
--- a/crates/service-registry/src/eureka/reading.rs
+++ b/crates/service-registry/src/eureka/reading.rs
@@ -5,8 +5,8 @@
 use super::mirror::{Mirror, Noted};
 use super::model::{Instance, ModelError};
 use super::poller::Ask;
-use pooler_routing::ListState;
-use pooler_routing::membership::{Claim, Evidence, News};
+use pooler_routing::Lifecycle;
+use pooler_routing::membership::{EndpointClaim, RecordVersion, WatchEvent};
 use std::sync::Arc;
 
 /// No more instances than this are taken from one body, so that the smallest ones a body can hold don't fill the memory.
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Read {
     /// What it says of members.
-    pub news: News,
+    pub news: WatchEvent,
     /// The registry's own hash code, where it gives one.
     pub hash_code: Option<String>,
     /// Instances in all, of all applications.
@@ -47,7 +47,7 @@
     /// Of a whole list, what it holds; what a delta changes is noted until its end.
     mirror: Mirror,
     changes: Vec<Noted>,
-    claims: Vec<Claim>,
+    claims: Vec<EndpointClaim>,
     view: i64,
     read: Counts,
 }
@@ -113,7 +113,8 @@
         }
         // Who stands in it and could not be read must not count as missing.
         let view = if read.unreadable > 0 { i64::MIN } else { view };
-        let news = if whole { News::Full { claims, view } } else { News::Changes(claims) };
+        let news =
+            if whole { WatchEvent::Snapshot { claims, version: view } } else { WatchEvent::Delta(claims) };
         let Counts { hash_code, instances, unreadable, refused, outside, named } = read;
         Ok(Read { news, hash_code, instances, unreadable, refused, outside, named })
     }
@@ -160,15 +161,15 @@
                 self.read.outside += usize::from(matches!(refused, Refused::Outside(_)));
                 self.name(format!("instance '{}': {refused}", instance.id));
                 let stamp = instance.dirty_ms.saturating_mul(2).saturating_add(1);
-                self.claims.push(Claim {
-                    member: pooler_routing::MemberId(Arc::from(instance.id.as_str())),
+                self.claims.push(EndpointClaim {
+                    endpoint: pooler_routing::EndpointId(Arc::from(instance.id.as_str())),
                     address: None,
                     group: None,
                     zone: String::new(),
                     primary: false,
-                    started: None,
-                    state: ListState::Draining,
-                    evidence: Evidence { stamp, ..Evidence::default() },
+                    started_at: None,
+                    lifecycle: Lifecycle::Draining,
+                    version: RecordVersion { change_stamp: stamp, ..RecordVersion::default() },
                 });
             }
         }
--- a/crates/service-registry/src/follow.rs
+++ b/crates/service-registry/src/follow.rs
@@ -12,8 +12,8 @@
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future::or;
-use pooler_routing::membership::{Doubt, News, Taken};
-use pooler_routing::{Span, Time};
+use pooler_routing::membership::{MergeResult, SelfPreservation, SuspectedLoss, WatchEvent};
+use pooler_routing::{TimeDelta, Timestamp};
 use std::cell::Cell;
 use std::fmt;
 use std::future::Future;
@@ -23,9 +23,9 @@
 /// What the follower is given: a way in for its news, and a clock.
 pub trait Sink {
     /// The time, Unix in microseconds, never running backwards.
-    fn now(&self) -> Time;
+    fn now(&self) -> Timestamp;
     /// Takes news in.
-    fn tell(&self, news: News) -> Taken;
+    fn tell(&self, news: WatchEvent) -> MergeResult;
     /// A line for the people on call.
     fn log(&self, line: &dyn fmt::Display);
 }
@@ -40,9 +40,9 @@
     /// Where it listens.
     pub address: std::net::SocketAddr,
     /// How often the registration is renewed.
-    pub renew: Span,
+    pub renew: TimeDelta,
     /// After how long without that the registry may drop it.
-    pub expires: Span,
+    pub expires: TimeDelta,
 }
 
 /// What is followed, and how.
@@ -61,7 +61,7 @@
     /// How instances become members.
     pub mapping: Mapping,
     /// When a list is not believed.
-    pub doubt: Doubt,
+    pub doubt: SelfPreservation,
     /// The whole list is asked for by this path, such as `/apps`.
     pub list: String,
     /// What this pooler says of itself, if anything.
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// When no answer came that can be used; it will be asked again in time.
-    pub async fn ask(&mut self) -> Result<Taken, CallError> {
+    pub async fn ask(&mut self) -> Result<MergeResult, CallError> {
         let (at, ask) = self.poller.ask(self.sink.now());
         match self.read(at, ask).await {
             Ok(read) => {
@@ -226,16 +226,16 @@
         reading.ok_or(CallError::Type(String::new()))?.finish(mirror).map_err(body)
     }
 
-    fn taken(&mut self, at: usize, ask: Ask, read: Read, adds_up: bool) -> Taken {
+    fn taken(&mut self, at: usize, ask: Ask, read: Read, adds_up: bool) -> MergeResult {
         let (instances, hash_code) = (read.instances, read.hash_code.unwrap_or_default());
         let taken = self.sink.tell(read.news);
         let counters = self.counters.clone();
         add(if ask == Ask::Full { &counters.fulls } else { &counters.deltas }, 1);
         add(&counters.mismatches, usize::from(!adds_up));
-        add(&counters.doubted, usize::from(taken.doubted.is_some()));
-        add(&counters.stale, taken.stale);
-        add(&counters.kept_out, taken.kept_out);
-        add(&counters.conflicts, taken.conflicts);
+        add(&counters.doubted, usize::from(taken.suspected_loss.is_some()));
+        add(&counters.stale, taken.stale_claims);
+        add(&counters.kept_out, taken.rejected_revivals);
+        add(&counters.conflicts, taken.address_conflicts);
         add(&counters.unreadable, read.unreadable);
         add(&counters.refused, read.refused);
         add(&counters.outside, read.outside);
@@ -246,10 +246,10 @@
             }
         }
         let name = self.registry.servers[at].name().to_owned();
-        if let Some((lost, of)) = taken.doubted {
+        if let Some(SuspectedLoss { missing, active }) = taken.suspected_loss {
             self.say(
                 Said::Sick,
-                &format_args!("registry: {name}: a list that lacks {lost} of {of} members is not believed; carrying on with what is known"),
+                &format_args!("registry: {name}: a list that lacks {missing} of {active} members is not believed; carrying on with what is known"),
             );
         } else if ask == Ask::Full && !adds_up {
             let own = self.mirror.hash_code();
@@ -389,7 +389,7 @@
     }
 }
 
-fn wait_until(now: Time, due: Time) -> impl Future<Output = ()> {
+fn wait_until(now: Timestamp, due: Timestamp) -> impl Future<Output = ()> {
     let wait = Duration::from_micros(u64::try_from((due - now).0).unwrap_or(0));
     async move {
         if !wait.is_zero() {
@@ -420,7 +420,7 @@
 }
 
 fn registration(own: &Own, status: Status, dirty_ms: i64) -> Vec<u8> {
-    let seconds = |span: Span| (span.0 / 1_000_000).max(1);
+    let seconds = |span: TimeDelta| (span.0 / 1_000_000).max(1);
     serde_json::json!({"instance": {
         "instanceId": own.id, "app": own.app.to_ascii_uppercase(), "hostName": own.address.ip().to_string(),
         "ipAddr": own.address.ip().to_string(), "vipAddress": own.app.to_ascii_lowercase(),
--- a/crates/service-registry/tests/bodies.rs
+++ b/crates/service-registry/tests/bodies.rs
@@ -1,7 +1,7 @@
 //! Bodies as registries write them, cut anywhere; and bodies that are none.
 
-use pooler_routing::ListState;
-use pooler_routing::membership::News;
+use pooler_routing::Lifecycle;
+use pooler_routing::membership::WatchEvent;
 use pooler_service_registry::eureka::body::{Body, BodyError, Format};
 use pooler_service_registry::eureka::mapping::{Mapping, Networks, Refused};
 use pooler_service_registry::eureka::mirror::Mirror;
@@ -70,13 +70,13 @@
     let (read, mirror) = read(format, text, cuts).unwrap();
     assert_eq!(read.hash_code.as_deref(), Some("OUT_OF_SERVICE_1_UP_1_"));
     assert_eq!(mirror.hash_code(), "OUT_OF_SERVICE_1_UP_1_");
-    let News::Full { claims, view } = read.news else { panic!("a whole list") };
+    let WatchEvent::Snapshot { claims, version: view } = read.news else { panic!("a whole list") };
     assert_eq!((view, read.instances, read.refused), (2 * 1_767_225_600_200 + 1, 2, 0));
     let one = &claims[0];
-    assert_eq!((&*one.member.0, one.state, one.primary), ("s-1", ListState::Healthy, true));
+    assert_eq!((&*one.endpoint.0, one.lifecycle, one.primary), ("s-1", Lifecycle::Active, true));
     assert_eq!((one.address.unwrap().to_string(), one.group.unwrap().0), ("10.1.0.4:6543".to_owned(), 2));
-    assert_eq!((one.zone.as_str(), one.evidence.stamp), ("adum", 2 * 1_767_225_600_123 + 1));
-    assert_eq!((claims[1].state, claims[1].group.unwrap().0), (ListState::Draining, 7));
+    assert_eq!((one.zone.as_str(), one.version.change_stamp), ("adum", 2 * 1_767_225_600_123 + 1));
+    assert_eq!((claims[1].lifecycle, claims[1].group.unwrap().0), (Lifecycle::Draining, 7));
 }
 
 #[test]
@@ -180,7 +180,7 @@
     assert_eq!((read.instances, read.unreadable), (2, 1));
     assert_eq!(read.named, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
     // Nobody counts as missing from it: the one that could not be read may be anybody.
-    assert!(matches!(read.news, News::Full { claims, view: i64::MIN } if claims.len() == 1));
+    assert!(matches!(read.news, WatchEvent::Snapshot { claims, version: i64::MIN } if claims.len() == 1));
 }
 
 #[test]
@@ -189,8 +189,8 @@
     let body = format!(r#"{{"application":{{"instance":[{outside}]}}}}"#);
     let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
     assert_eq!((read.refused, read.outside), (1, 1));
-    let News::Full { claims, .. } = read.news else { panic!("a whole list") };
-    assert_eq!((claims[0].state, claims[0].address), (ListState::Draining, None));
+    let WatchEvent::Snapshot { claims, .. } = read.news else { panic!("a whole list") };
+    assert_eq!((claims[0].lifecycle, claims[0].address), (Lifecycle::Draining, None));
     let instance = |text: &str| Instance::from_json(text.as_bytes()).unwrap();
     let refused = |text: &str| mapping().claim(&instance(text), 0).unwrap_err();
     assert_eq!(refused(&ONE.replace("\"DB\"", "\"WEB\"")), Refused::NotOurs);
@@ -214,7 +214,7 @@
     let stamp = |status: &str| {
         let instance =
             Instance::from_json(ONE.replace("\"UP\"", &format!("\"{status}\"")).as_bytes()).unwrap();
-        mapping().claim(&instance, 0).unwrap().evidence.stamp
+        mapping().claim(&instance, 0).unwrap().version.change_stamp
     };
     assert!(stamp("STARTING") < stamp("UP") && stamp("UP") == stamp("DOWN"));
     assert_eq!(Status::named("whatever"), Status::Unknown);
--- a/crates/service-registry/tests/client.rs
+++ b/crates/service-registry/tests/client.rs
@@ -5,7 +5,7 @@
 use futures_rustls::TlsAcceptor;
 use futures_rustls::rustls::server::WebPkiClientVerifier;
 use futures_rustls::rustls::{RootCertStore, ServerConfig};
-use pooler_routing::Span;
+use pooler_routing::TimeDelta;
 use pooler_service_registry::client::{Access, Call, CallError, Chunk, Client, Server, SetupError};
 use rcgen::{CertificateParams, CertifiedIssuer, KeyPair};
 use rustls_pki_types::PrivateKeyDer;
@@ -131,7 +131,7 @@
     let server = plain(address);
     match call(&mut client, &server) {
         Err(CallError::Status { status: 429, retry_after }) => {
-            assert_eq!(retry_after, Some(Span::millis(7_000)))
+            assert_eq!(retry_after, Some(TimeDelta::from_millis(7_000)))
         }
         other => panic!("{other:?}"),
     }
--- a/crates/service-registry/tests/timing.rs
+++ b/crates/service-registry/tests/timing.rs
@@ -1,22 +1,26 @@
 //! When to ask, and when to tell, on a clock that the tests hold.
 
-use pooler_routing::{Span, Time};
+use pooler_routing::{TimeDelta, Timestamp};
 use pooler_service_registry::eureka::lease::{Act, Came, Lease};
 use pooler_service_registry::eureka::model::Status;
 use pooler_service_registry::eureka::poller::{Ask, Failure, Pace, Poller};
 
-const START: Time = Time(1_767_225_600_000_000);
+const START: Timestamp = Timestamp(1_767_225_600_000_000);
 
-fn at(ms: i64) -> Time {
-    START + Span::millis(ms)
+fn at(ms: i64) -> Timestamp {
+    START + TimeDelta::from_millis(ms)
 }
 
 fn poller(servers: usize) -> Poller {
-    let pace = Pace { interval: Span::millis(1_000), longest_pause: Span::millis(8_000), deltas: true };
+    let pace = Pace {
+        interval: TimeDelta::from_millis(1_000),
+        longest_pause: TimeDelta::from_millis(8_000),
+        deltas: true,
+    };
     Poller::new(servers, pace, 7, START)
 }
 
-fn wait(poller: &Poller, since: Time) -> i64 {
+fn wait(poller: &Poller, since: Timestamp) -> i64 {
     (poller.due() - since).0 / 1_000
 }
 
@@ -66,14 +70,14 @@
 #[test]
 fn who_asks_to_be_left_alone_is_and_not_for_ever() {
     let mut poller = poller(2);
-    poller.failed(START, Ask::Full, Failure::Status(429, Some(Span::millis(60_000))));
+    poller.failed(START, Ask::Full, Failure::Status(429, Some(TimeDelta::from_millis(60_000))));
     assert_eq!(poller.ask(at(20)).0, 1);
     poller.failed(at(20), Ask::Full, Failure::Broken);
     assert_eq!(poller.ask(at(2_000)).0, 1, "the first still rests");
     let mut alone = self::poller(1);
-    alone.failed(START, Ask::Full, Failure::Status(503, Some(Span::millis(86_400_000))));
+    alone.failed(START, Ask::Full, Failure::Status(503, Some(TimeDelta::from_millis(86_400_000))));
     assert_eq!(wait(&alone, START), 300_000, "five minutes at most");
-    alone.failed(START, Ask::Full, Failure::Status(503, Some(Span(-5))));
+    alone.failed(START, Ask::Full, Failure::Status(503, Some(TimeDelta(-5))));
     assert!(wait(&alone, START) <= 1_300, "nobody comes back in the past");
 }
 
@@ -89,7 +93,7 @@
 
 #[test]
 fn the_life_of_a_registration() {
-    let mut lease = Lease::new(Span::millis(30_000), START);
+    let mut lease = Lease::new(TimeDelta::from_millis(30_000), START);
     let first = lease.dirty_ms();
     assert_eq!(lease.act(START), Some(Act::Register(Status::Starting)));
     lease.done(START, Act::Register(Status::Starting), Came::Taken);
@@ -107,8 +111,8 @@
     let mut now = at(30_100);
     for wait in [1_000, 2_000, 4_000, 8_000, 16_000, 30_000, 30_000] {
         lease.done(now, Act::Register(Status::Up), Came::Nothing);
-        assert_eq!(lease.due(), Some(now + Span::millis(wait)));
-        now = now + Span::millis(wait);
+        assert_eq!(lease.due(), Some(now + TimeDelta::from_millis(wait)));
+        now = now + TimeDelta::from_millis(wait);
     }
     lease.want(now, Some(Status::OutOfService));
     assert_eq!(lease.act(now), Some(Act::Register(Status::OutOfService)));
@@ -121,11 +125,11 @@
 
 #[test]
 fn who_never_registered_has_nothing_to_take_back() {
-    let mut lease = Lease::new(Span::millis(30_000), START);
+    let mut lease = Lease::new(TimeDelta::from_millis(30_000), START);
     lease.want(START, None);
     assert_eq!((lease.act(START), lease.due()), (None, None));
     // A clock that stands still still makes later stamps.
-    let mut lease = Lease::new(Span::millis(30_000), START);
+    let mut lease = Lease::new(TimeDelta::from_millis(30_000), START);
     let before = lease.dirty_ms();
     lease.want(START, Some(Status::Up));
     assert!(lease.dirty_ms() > before);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 //! decides nothing; instances share nothing but the numbered lists that the wire itself shares.
 
 use pooler_routing::Router;
-use pooler_routing::settings::{Pairs, Parsed, span};
+use pooler_routing::settings::{SettingsMap, duration_from_millis};
 use pooler_routing::*;
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -64,8 +64,8 @@
 #[derive(Default)]
 struct Adapter {
     instances: HashMap<u64, Instance>,
-    lists: HashMap<u64, Vec<Entry>>,
-    batch: Option<(Time, u64)>,
+    lists: HashMap<u64, Vec<EndpointEntry>>,
+    batch: Option<(Timestamp, u64)>,
     filling: u64,
     lines_owed: usize,
     reply: String,
@@ -74,7 +74,7 @@
 
 impl Adapter {
     /// Takes one line; gives the reply when it ends a batch.
-    fn line(&mut self, line: &str) -> Parsed<Option<String>> {
+    fn line(&mut self, line: &str) -> Result<Option<String>, String> {
         let mut parts = Parts::new(line);
         let word = parts.text("message")?;
         if self.lines_owed > 0 && word != "m" {
@@ -109,7 +109,8 @@
             "start" => {
                 let id = parts.integer("ProxyId")?;
                 let seed = parts.integer("InitSeed")?;
-                let settings = Pairs::from_parts(parts.0).settings()?;
+                let settings =
+                    SettingsMap::from_words(parts.0).settings().map_err(|error| error.to_string())?;
                 let index = |names: Vec<&str>| {
                     names.into_iter().enumerate().map(|(at, name)| (name.to_owned(), at)).collect()
                 };
@@ -145,21 +146,21 @@
     word: &str,
     parts: &mut Parts<'_>,
     instance: &Instance,
-    lists: &HashMap<u64, Vec<Entry>>,
-) -> Parsed<Option<Event>> {
+    lists: &HashMap<u64, Vec<EndpointEntry>>,
+) -> Result<Option<Event>, String> {
     Ok(Some(match word {
         "directory_update" => {
             let scope = parts.text("Scope")?;
             let _rev = parts.text("Rev")?;
             let buffer = parts.text("Buffer")?;
             if scope == "error" {
-                return Ok(Some(Event::List(Listing::Failed)));
+                return Ok(Some(Event::EndpointUpdate(EndpointUpdate::PollFailed)));
             }
             let number: u64 = buffer.parse().map_err(|_| format!("Buffer '{buffer}' is no number"))?;
             let entries = lists.get(&number).ok_or_else(|| format!("list {number} was never sent"))?.clone();
-            Event::List(match scope {
-                "diff" => Listing::Changes(entries),
-                "snapshot" | "disk" => Listing::Full(entries),
+            Event::EndpointUpdate(match scope {
+                "diff" => EndpointUpdate::Delta(entries),
+                "snapshot" | "disk" => EndpointUpdate::Snapshot(entries),
                 other => return Err(format!("unknown Scope '{other}'")),
             })
         }
@@ -179,77 +180,87 @@
                 class: ClassId(class),
                 tenant: instance.tenants.get(tenant).map(|at| TenantId(*at)),
                 session: session.map(SessionKey),
-                left,
+                time_remaining: left,
                 group,
-                last_write: last_write.filter(|ms| *ms > 0.0).map(span),
-                cost: cost.filter(|_| bits & 1 != 0).map(span),
+                since_last_write: last_write.filter(|ms| *ms > 0.0).map(duration_from_millis),
+                expected_work: cost.filter(|_| bits & 1 != 0).map(duration_from_millis),
             })
         }
-        "vanished" => Event::Gone(RequestId(parts.integer("Job")?)),
-        "tick_due" => Event::Wake,
-        "accepted" => Event::Streaming(RequestId(parts.integer("Job")?)),
+        "vanished" => Event::RequestAbandoned(RequestId(parts.integer("Job")?)),
+        "tick_due" => Event::TimerFired,
+        "accepted" => Event::ResponseStarted(RequestId(parts.integer("Job")?)),
         "response" => {
             let request = RequestId(parts.integer("Job")?);
-            let attempt = AttemptNo(parts.integer("Trial")? as u32);
+            let attempt = AttemptNumber(parts.integer("Trial")? as u32);
             let took = parts.span("TimeTaken")?;
             let mark: Option<u64> = parts.optional("Mark")?;
             let verdict = verdict(parts.text("Verdict")?)?;
             let member = parts.member()?;
             let closed = parts.text("Complete")? == "1";
             let report = parts.report()?;
-            let note = mark.filter(|mark| *mark > 0).map(|mark| Note {
+            let note = mark.filter(|mark| *mark > 0).map(|mark| ResponseMetadata {
                 role: match mark % 4 {
                     1 => Some(Role::Primary),
                     2 => Some(Role::Replica),
                     _ => None,
                 },
-                position: (mark >= 4)
-                    .then(|| instance.settings.zero + Span((mark / 4).min(1 << 50) as i64 * 1_000)),
+                position: (mark >= 4).then(|| {
+                    instance.settings.position_epoch + TimeDelta((mark / 4).min(1 << 50) as i64 * 1_000)
+                }),
             });
-            Event::Outcome(Outcome { request, attempt, member, verdict, note, took, closed, report })
+            Event::AttemptCompleted(AttemptCompletion {
+                request,
+                attempt,
+                endpoint: member,
+                outcome: verdict,
+                metadata: note,
+                elapsed: took,
+                request_closed: closed,
+                load_report: report,
+            })
         }
-        "pong" => Event::Probed {
-            member: parts.member()?,
-            verdict: verdict(parts.text("Verdict")?)?,
-            took: parts.span("TimeTaken")?,
-            report: parts.report()?,
+        "pong" => Event::HealthCheckCompleted {
+            endpoint: parts.member()?,
+            outcome: verdict(parts.text("Verdict")?)?,
+            elapsed: parts.span("TimeTaken")?,
+            load_report: parts.report()?,
         },
         "memo" => return Ok(None),
         other => return Err(format!("unknown message '{other}'")),
     }))
 }
 
-fn verdict(word: &str) -> Parsed<Verdict> {
+fn verdict(word: &str) -> Result<AttemptOutcome, String> {
     Ok(match word {
-        "completed" => Verdict::Ok,
-        "errored" => Verdict::Error,
-        "saturated" => Verdict::Full,
-        "overdue" => Verdict::Timeout,
-        "refused_conn" => Verdict::ConnectFailed,
-        "severed" => Verdict::Reset,
-        "recalled" => Verdict::Cancelled,
-        "superseded" => Verdict::Moot,
-        "lookup_miss" => Verdict::Miss,
+        "completed" => AttemptOutcome::Ok,
+        "errored" => AttemptOutcome::Error,
+        "saturated" => AttemptOutcome::Rejected,
+        "overdue" => AttemptOutcome::Timeout,
+        "refused_conn" => AttemptOutcome::ConnectionRefused,
+        "severed" => AttemptOutcome::ConnectionReset,
+        "recalled" => AttemptOutcome::Cancelled,
+        "superseded" => AttemptOutcome::NotSent,
+        "lookup_miss" => AttemptOutcome::NotEligible,
         other => return Err(format!("unknown Verdict '{other}'")),
     })
 }
 
-fn entry(parts: &mut Parts<'_>) -> Parsed<Entry> {
+fn entry(parts: &mut Parts<'_>) -> Result<EndpointEntry, String> {
     let member = parts.member()?;
     let zone = parts.text("Hall")?.to_owned();
     let _kind = parts.text("Kind")?;
     let primary = parts.optional::<f64>("Head")?.is_some_and(|head| head > 0.0);
     let group = GroupId(parts.number("Group")? as i64);
     let state = match parts.text("StageState")? {
-        "healthy" => ListState::Healthy,
-        "cordoned" => ListState::Draining,
-        "deregistered" => ListState::Gone,
+        "healthy" => Lifecycle::Active,
+        "cordoned" => Lifecycle::Draining,
+        "deregistered" => Lifecycle::Removed,
         other => return Err(format!("unknown StageState '{other}'")),
     };
     let _weight = parts.text("PowerHint")?;
     let started: Option<f64> = parts.optional("OnlineSince")?;
-    let started = started.filter(|ms| *ms > 0.0).map(|ms| Time(span(ms).0));
-    Ok(Entry { member, group, state, primary, started, zone })
+    let started = started.filter(|ms| *ms > 0.0).map(|ms| Timestamp(duration_from_millis(ms).0));
+    Ok(EndpointEntry { endpoint: member, group, lifecycle: state, primary, started_at: started, zone })
 }
 
 /// The parts of a line, in order.
@@ -260,21 +271,21 @@
         Self(line.split(' '))
     }
 
-    fn text(&mut self, what: &str) -> Parsed<&'a str> {
+    fn text(&mut self, what: &str) -> Result<&'a str, String> {
         self.0.next().ok_or_else(|| format!("{what} is missing"))
     }
 
-    fn integer(&mut self, what: &str) -> Parsed<u64> {
+    fn integer(&mut self, what: &str) -> Result<u64, String> {
         let text = self.text(what)?;
         text.parse().map_err(|_| format!("{what}: '{text}' is no whole number"))
     }
 
-    fn number(&mut self, what: &str) -> Parsed<f64> {
+    fn number(&mut self, what: &str) -> Result<f64, String> {
         let text = self.text(what)?;
         text.parse().map_err(|_| format!("{what}: '{text}' is no number"))
     }
 
-    fn optional<T: std::str::FromStr>(&mut self, what: &str) -> Parsed<Option<T>> {
+    fn optional<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
         let text = self.text(what)?;
         if text == "-" {
             return Ok(None);
@@ -282,20 +293,20 @@
         text.parse().map(Some).map_err(|_| format!("{what}: '{text}' is no number"))
     }
 
-    fn span(&mut self, what: &str) -> Parsed<Span> {
-        Ok(span(self.number(what)?))
+    fn span(&mut self, what: &str) -> Result<TimeDelta, String> {
+        Ok(duration_from_millis(self.number(what)?))
     }
 
-    fn time(&mut self, what: &str) -> Parsed<Time> {
-        Ok(Time(self.span(what)?.0))
+    fn time(&mut self, what: &str) -> Result<Timestamp, String> {
+        Ok(Timestamp(self.span(what)?.0))
     }
 
-    fn member(&mut self) -> Parsed<MemberId> {
+    fn member(&mut self) -> Result<EndpointId, String> {
         let text = self.text("Database")?;
-        if text.is_empty() { Err("Database is empty".into()) } else { Ok(MemberId(Arc::from(text))) }
+        if text.is_empty() { Err("Database is empty".into()) } else { Ok(EndpointId(Arc::from(text))) }
     }
 
-    fn report(&mut self) -> Parsed<Option<Vec<f64>>> {
+    fn report(&mut self) -> Result<Option<Vec<f64>>, String> {
         let text = self.text("Stats")?;
         if text == "-" {
             return Ok(None);
@@ -311,16 +322,16 @@
 
 fn put(reply: &mut String, id: u64, action: &Action) {
     let _ = match action {
-        Action::Send { request, member, timeout } => {
+        Action::Send { request, endpoint: member, timeout } => {
             writeln!(reply, "forward {id} {} {} {:.3}", request.0, member.0, ms(timeout.0))
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             writeln!(reply, "turn_away {id} {} {:.3}", request.0, ms(retry_after.map_or(0, |after| after.0)))
         }
         Action::Fail { request } => writeln!(reply, "surrender {id} {}", request.0),
         Action::Cancel { request, attempt } => writeln!(reply, "cancel {id} {} {}", request.0, attempt.0),
-        Action::Probe { member } => writeln!(reply, "health_check {id} {}", member.0),
-        Action::Wake { at } => writeln!(reply, "remind {id} {:.3} wake", ms(at.0)),
+        Action::HealthCheck { endpoint } => writeln!(reply, "health_check {id} {}", endpoint.0),
+        Action::SetTimer { at } => writeln!(reply, "remind {id} {:.3} wake", ms(at.0)),
         Action::Subscribe => writeln!(reply, "watch {id} 1"),
         Action::Log { line } => writeln!(reply, "trace {id} {line}"),
     };
--- a/crates/testbed/src/model.rs
+++ b/crates/testbed/src/model.rs
@@ -140,8 +140,8 @@
     Drain(usize),
 }
 
-fn id(at: usize) -> MemberId {
-    MemberId(Arc::from(format!("s-{at}")))
+fn id(at: usize) -> EndpointId {
+    EndpointId(Arc::from(format!("s-{at}")))
 }
 
 fn request(write: usize) -> RequestId {
@@ -150,33 +150,40 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![Class {
+        classes: vec![RequestClass {
             name: "top-up".into(),
-            effect: Effect::Unsafe,
-            need: Need::Write,
-            aim: Span::millis(300),
-            aim_stretch: 0.0,
-            worth: 1.0,
-            late_worth: 0.5,
+            idempotency: Idempotency::NonIdempotent,
+            operation: Operation::Write,
+            latency_objective: TimeDelta::from_millis(300),
+            objective_stretch: 0.0,
+            priority_weight: 1.0,
+            late_weight: 0.5,
         }],
-        fleet: 2,
-        checks: Checks::Refuse,
-        report: vec![Field::Position, Field::Primary],
+        router_count: 2,
+        stale_read_policy: StaleReadPolicy::Reject,
+        load_report_fields: vec![LoadReportField::Position, LoadReportField::Primary],
         max_attempts: 6,
-        probes: true,
-        retry_after: true,
-        max_retry_after: Span::millis(2_000),
-        drain_grace: Span::millis(250),
-        cold_share: 0.2,
-        cold_span: Span::millis(10_000),
-        fall_multiple: 2.5,
-        fall_span: Span::millis(3_000),
+        health_checks_allowed: true,
+        retry_after_allowed: true,
+        max_retry_after: TimeDelta::from_millis(2_000),
+        drain_grace: TimeDelta::from_millis(250),
+        slow_start_floor: 0.2,
+        slow_start_window: TimeDelta::from_millis(10_000),
+        overload_multiple: 2.5,
+        overload_window: TimeDelta::from_millis(3_000),
         ..Settings::default()
     }
 }
 
-fn entry(at: usize, state: ListState) -> Entry {
-    Entry { member: id(at), group: GroupId(1), state, primary: at == 0, started: None, zone: String::new() }
+fn entry(at: usize, state: Lifecycle) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: id(at),
+        group: GroupId(1),
+        lifecycle: state,
+        primary: at == 0,
+        started_at: None,
+        zone: String::new(),
+    }
 }
 
 impl World {
@@ -205,12 +212,12 @@
 
     /// A router's list from before all: all up, the first the primary.
     fn list(&mut self, router: usize) {
-        let entries = (0..MEMBERS).map(|at| entry(at, ListState::Healthy)).collect();
-        self.feed(router, Event::List(Listing::Full(entries)));
+        let entries = (0..MEMBERS).map(|at| entry(at, Lifecycle::Active)).collect();
+        self.feed(router, Event::EndpointUpdate(EndpointUpdate::Snapshot(entries)));
     }
 
-    fn time(&self) -> Time {
-        Time(1_000_000_000 + self.now * 1_000)
+    fn time(&self) -> Timestamp {
+        Timestamp(1_000_000_000 + self.now * 1_000)
     }
 
     /// Feeds a router, and carries out what it orders; a probe is answered at once with what is true.
@@ -221,31 +228,43 @@
             self.routers[router].handle(now, event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { request, member, timeout } => self.send(router, request, &member, timeout),
-                    Action::Refuse { request, .. } => self.answer(router, request, "refused"),
+                    Action::Send { request, endpoint: member, timeout } => {
+                        self.send(router, request, &member, timeout)
+                    }
+                    Action::Reject { request, .. } => self.answer(router, request, "refused"),
                     Action::Fail { request } => self.answer(router, request, "failed"),
-                    Action::Wake { at } => {
+                    Action::SetTimer { at } => {
                         self.wakes[router] = Some((at.0 - 1_000_000_000).div_euclid(1_000) + 1)
                     }
-                    Action::Probe { member } => events.push(self.probed(member)),
+                    Action::HealthCheck { endpoint } => events.push(self.probed(endpoint)),
                     Action::Cancel { .. } | Action::Subscribe | Action::Log { .. } => {}
                 }
             }
         }
     }
 
-    fn probed(&self, member: MemberId) -> Event {
+    fn probed(&self, member: EndpointId) -> Event {
         let at = (0..MEMBERS).find(|at| id(*at) == member).unwrap_or(0);
-        let took = Span::millis(1);
+        let took = TimeDelta::from_millis(1);
         if !self.alive[at] {
-            return Event::Probed { member, verdict: Verdict::ConnectFailed, took, report: None };
+            return Event::HealthCheckCompleted {
+                endpoint: member,
+                outcome: AttemptOutcome::ConnectionRefused,
+                elapsed: took,
+                load_report: None,
+            };
         }
         let role = f64::from(u8::from(self.primary == Some(at)));
         let report = Some(vec![self.time().0 as f64 / 1e6, role]);
-        Event::Probed { member, verdict: Verdict::Ok, took, report }
+        Event::HealthCheckCompleted {
+            endpoint: member,
+            outcome: AttemptOutcome::Ok,
+            elapsed: took,
+            load_report: report,
+        }
     }
 
-    fn send(&mut self, router: usize, request: RequestId, member: &MemberId, timeout: Span) {
+    fn send(&mut self, router: usize, request: RequestId, member: &EndpointId, timeout: TimeDelta) {
         let write = request.0 as usize - 1;
         let member = (0..MEMBERS).find(|at| id(*at) == *member).unwrap_or(0);
         if self.told[router] && member == 0 {
@@ -279,31 +298,31 @@
     }
 
     /// An attempt ends so.
-    fn end(&mut self, at: usize, verdict: Verdict, ran: bool) {
+    fn end(&mut self, at: usize, verdict: AttemptOutcome, ran: bool) {
         let Attempt { router, write, number, member, sent, primary, .. } = self.attempts.remove(at);
         let one = &mut self.writes[router][write];
         one.runs += u8::from(ran);
         if one.runs > 1 {
             self.wrong = Some("a write ran twice".into());
         }
-        let served = verdict == Verdict::Ok;
+        let served = verdict == AttemptOutcome::Ok;
         if served {
             self.answer(router, request(write), "served");
         }
         let role = if primary { Role::Primary } else { Role::Replica };
-        let tells = matches!(verdict, Verdict::Ok | Verdict::Miss);
-        let note = tells.then_some(Note { role: Some(role), position: None });
+        let tells = matches!(verdict, AttemptOutcome::Ok | AttemptOutcome::NotEligible);
+        let note = tells.then_some(ResponseMetadata { role: Some(role), position: None });
         self.feed(
             router,
-            Event::Outcome(Outcome {
+            Event::AttemptCompleted(AttemptCompletion {
                 request: request(write),
-                attempt: AttemptNo(number),
-                member: id(member),
-                verdict,
-                note,
-                took: Span::millis(self.now - sent),
-                closed: served,
-                report: None,
+                attempt: AttemptNumber(number),
+                endpoint: id(member),
+                outcome: verdict,
+                metadata: note,
+                elapsed: TimeDelta::from_millis(self.now - sent),
+                request_closed: served,
+                load_report: None,
             }),
         );
     }
@@ -320,11 +339,11 @@
             let Some(next) = next.filter(|next| *next <= target) else { break };
             self.now = self.now.max(next);
             match late.filter(|(at, _)| *at == next) {
-                Some((_, at)) => self.end(at, Verdict::Timeout, false),
+                Some((_, at)) => self.end(at, AttemptOutcome::Timeout, false),
                 None => {
                     if let Some((_, router)) = wake {
                         self.wakes[router] = None;
-                        self.feed(router, Event::Wake);
+                        self.feed(router, Event::TimerFired);
                     }
                 }
             }
@@ -402,10 +421,10 @@
                     class: ClassId(0),
                     tenant: None,
                     session: None,
-                    left: Span::millis(LEFT_MS),
+                    time_remaining: TimeDelta::from_millis(LEFT_MS),
                     group: GroupId(1),
-                    last_write: None,
-                    cost: None,
+                    since_last_write: None,
+                    expected_work: None,
                 };
                 world.feed(router, Event::Request(ask));
             }
@@ -414,16 +433,20 @@
                 let (refused, primary) = (of.refused, world.primary == Some(of.member));
                 if lost {
                     world.losses += u8::from(world.alive[of.member]);
-                    let verdict = if self.0.wrong_reset { Verdict::Broken } else { Verdict::Reset };
+                    let verdict = if self.0.wrong_reset {
+                        AttemptOutcome::ConnectionLostBeforeSend
+                    } else {
+                        AttemptOutcome::ConnectionReset
+                    };
                     world.end(attempt, verdict, ran);
                 } else if refused {
-                    world.end(attempt, Verdict::ConnectFailed, false);
+                    world.end(attempt, AttemptOutcome::ConnectionRefused, false);
                 } else if primary {
                     world.attempts[attempt].primary = true;
-                    world.end(attempt, Verdict::Ok, true);
+                    world.end(attempt, AttemptOutcome::Ok, true);
                 } else {
                     world.attempts[attempt].primary = false;
-                    world.end(attempt, Verdict::Miss, false);
+                    world.end(attempt, AttemptOutcome::NotEligible, false);
                 }
             }
             Step::Dies => {
@@ -447,8 +470,8 @@
             }
             Step::Drain(router) => {
                 world.told[router] = true;
-                let drains = vec![entry(0, ListState::Draining)];
-                world.feed(router, Event::List(Listing::Changes(drains)));
+                let drains = vec![entry(0, Lifecycle::Draining)];
+                world.feed(router, Event::EndpointUpdate(EndpointUpdate::Delta(drains)));
             }
         }
         Some(world)
