--- a/crates/pooler/src/registry.rs
+++ b/crates/pooler/src/registry.rs
@@ -2,7 +2,7 @@
 
 use pooler_operator_config::{ReadWhat, RegistrySettings};
 use pooler_proxy::Pooler;
-use pooler_proxy::members::{Feed, REGISTRY};
+use pooler_proxy::discovery::endpoint_directory::{Feed, REGISTRY};
 use pooler_routing::membership::{MergeResult, SelfPreservation, WatchEvent};
 use pooler_routing::{Lifecycle, TimeDelta, Timestamp};
 use pooler_service_registry::client::{Access, Client, Server, SetupError};
--- a/crates/pooler/tests/crossings.rs
+++ b/crates/pooler/tests/crossings.rs
@@ -3,7 +3,7 @@
 mod peers;
 
 use peers::*;
-use pooler_proxy::pg::write;
+use pooler_proxy::protocol::write;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Mutex;
--- a/crates/pooler/tests/peers/mod.rs
+++ b/crates/pooler/tests/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted peers on loopback sockets: servers, discovery and clients round the built pooler.
 #![allow(dead_code)]
 
-use pooler_proxy::pg::{self, write};
+use pooler_proxy::protocol::{self as pg, write};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/pooler/tests/soak.rs
+++ b/crates/pooler/tests/soak.rs
@@ -7,8 +7,8 @@
 mod peers;
 
 use peers::*;
-use pooler_proxy::pg::write;
-use pooler_proxy::shutdown::Schedule;
+use pooler_proxy::lifecycle::shutdown::Schedule;
+use pooler_proxy::protocol::write;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::Write;
--- a/crates/pooler/tests/sockets.rs
+++ b/crates/pooler/tests/sockets.rs
@@ -2,7 +2,7 @@
 
 mod peers;
 use peers::*;
-use pooler_proxy::pg::write;
+use pooler_proxy::protocol::write;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
--- a/crates/proxy/src/frontend.rs
+++ b/crates/proxy/src/client/accept.rs
@@ -1,14 +1,14 @@
 //! Clients are accepted within a budget of connections, and each has a task of its own.
 
-use super::client::Client;
-use super::read_ahead::Shared;
-use super::sessions::Sessions;
-use super::slots::{Rank, Slots};
-use super::upstream::Pool;
-use crate::counters::Counters;
-use crate::doubts::Doubts;
-use crate::driver::Driver;
-use crate::life::Life;
+use crate::client::connection_slots::{Rank, Slots};
+use crate::client::in_doubt_writes::Doubts;
+use crate::client::read_ahead::Shared;
+use crate::client::session::Client;
+use crate::client::session_keys::Sessions;
+use crate::lifecycle::stages::Life;
+use crate::metrics::Counters;
+use crate::router_handle::Driver;
+use crate::server::pool::Pool;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future::{or, poll_once, yield_now};
@@ -91,7 +91,7 @@
                 yield_now().await;
             }
             // Out of descriptors: neither spin nor end. An idle connection is let go to make room.
-            Some(Err(error)) if super::upstream::shortage(&error) => {
+            Some(Err(error)) if crate::server::pool::shortage(&error) => {
                 frontend.counters.short.add();
                 if !frontend.pool.close_one_idle() {
                     frontend.slots.ask_one_to_go(Rank::Parting..=Rank::Idle);
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -6,7 +6,7 @@
 //! Who has asked gets a part as well: where clients may hold only so many connections, those that ask once and
 //! keep theirs would leave none for others.
 
-use super::flag::Flag;
+use crate::latch::Flag;
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future::or;
--- a/crates/proxy/src/read_ahead.rs
+++ b/crates/proxy/src/client/read_ahead.rs
@@ -2,7 +2,7 @@
 //! client sends ahead, its close is seen. What was passed over is refused in its turn.
 
 use crate::buffer::{ReadBuffer, discard};
-use crate::pg::{self, PgError, Skipper};
+use crate::protocol::{self as pg, PgError, Skipper};
 use async_io::Async;
 use futures_lite::future::yield_now;
 use std::cell::{Cell, RefCell};
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client/session.rs
@@ -1,14 +1,14 @@
 //! One client: its startup, and its commands in order, each answered before the next is begun.
 
-use super::buffer::{ReadBuffer, discard, write_all};
-use super::frontend::Frontend;
-use super::pg::write::{self, Severity};
-use super::pg::{self, Asks, BackendKey, PgError, Startup};
-use super::read_ahead::{PassedOver, ReadAhead};
-use super::request::{Asked, Cut, Final, serve};
-use super::sessions::Session;
-use super::slots::{Rank, Slot};
-use super::upstream::{Reply, Statement};
+use crate::buffer::{ReadBuffer, discard, write_all};
+use crate::client::accept::Frontend;
+use crate::client::connection_slots::{Rank, Slot};
+use crate::client::read_ahead::{PassedOver, ReadAhead};
+use crate::client::session_keys::Session;
+use crate::protocol::write::{self, Severity};
+use crate::protocol::{self as pg, Asks, BackendKey, PgError, Startup};
+use crate::request::{Asked, Cut, Final, serve};
+use crate::server::pool::{Reply, Statement};
 use async_io::{Async, Timer};
 use futures_lite::future::{or, yield_now};
 use pooler_routing::*;
--- a/crates/proxy/src/sessions.rs
+++ b/crates/proxy/src/client/session_keys.rs
@@ -1,6 +1,6 @@
 //! The sessions of clients, by the keys with which these can cancel what they ask.
 
-use crate::pg::BackendKey;
+use crate::protocol::BackendKey;
 use event_listener::Event as Bell;
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,7 +1,7 @@
 //! What the daemon is told: its configuration and the lists of discovery, decoded into plain types.
 //! Keys that mean nothing here are ignored.
 
-use crate::startup::retried;
+use crate::lifecycle::retry::retried;
 use pooler_routing::membership::{EndpointClaim, RecordVersion, WatchEvent};
 use pooler_routing::settings::{SettingsError, SettingsMap, duration_from_millis};
 use pooler_routing::*;
--- a/crates/proxy/src/members.rs
+++ b/crates/proxy/src/discovery/endpoint_directory.rs
@@ -1,6 +1,6 @@
 //! Who the members are at this moment, by all sources that there are, and the way in for what these tell.
 
-use crate::driver::Driver;
+use crate::router_handle::Driver;
 use pooler_routing::membership::{
     Membership, MergeResult, ResolvedEndpoint, SelfPreservation, SourceId, WatchEvent,
 };
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,11 +1,11 @@
 //! The watch of discovery: each change is taken as soon as it has been read.
 
-use super::buffer::{ReadBuffer, write_all};
-use super::http::{self, HttpError};
+use crate::buffer::{ReadBuffer, write_all};
 use crate::config::ServerList;
-use crate::counters::Counters;
-use crate::members::{Feed, PLATFORM};
-use crate::upstream::shortage;
+use crate::discovery::endpoint_directory::{Feed, PLATFORM};
+use crate::discovery::http::{self, HttpError};
+use crate::metrics::Counters;
+use crate::server::pool::shortage;
 use async_io::{Async, Timer};
 use event_listener::Event as Bell;
 use futures_lite::future::or;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,49 +1,40 @@
 //! The daemon: the decisions on real sockets. One executor on one thread carries all tasks.
 
 pub mod buffer;
-mod client;
+pub mod client;
 pub mod clock;
 pub mod config;
-pub mod counters;
 pub mod discovery;
-pub mod doubts;
-pub mod driver;
-pub mod flag;
-pub mod frontend;
-pub mod http;
-pub mod life;
-pub mod members;
-pub mod pg;
-pub mod probes;
-mod read_ahead;
-mod reload;
+pub mod latch;
+pub mod lifecycle;
+pub mod metrics;
+pub mod protocol;
 pub mod request;
-mod sessions;
-pub mod shutdown;
-pub mod signals;
-pub mod slots;
-pub mod startup;
-pub mod upstream;
+pub mod router_handle;
+pub mod server;
 
 use crate::config::Config;
 use async_executor::LocalExecutor;
-use counters::Shown;
-use discovery::{Follower, Pauses, Source};
-use doubts::Doubts;
-use driver::Driver;
-use life::Life;
-use members::{Feed, Members};
+use client::connection_slots::Slots;
+use client::in_doubt_writes::Doubts;
+use client::{accept, read_ahead, session_keys};
+use discovery::endpoint_directory::{Feed, Members};
+use discovery::watch::{self, Follower, Pauses, Source};
+use lifecycle::reload::Reloader;
+use lifecycle::shutdown::Shutdown;
+use lifecycle::stages::Life;
+use lifecycle::{retry, signals};
+use metrics::Shown;
 use pooler_routing::{Router, TimeDelta};
-use reload::Reloader;
-use shutdown::Shutdown;
-use slots::Slots;
+use router_handle::Driver;
+use server::health_checks;
+use server::pool::Pool;
 use std::cell::RefCell;
 use std::fmt::Display;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use upstream::Pool;
 
 /// Bytes that nobody wants are read so many at a time.
 const SCRATCH: usize = 64 * 1024;
@@ -109,7 +100,7 @@
         let shutdown = Shutdown { life: life.clone(), slots: slots.clone(), longest_deadline };
         let handler =
             signals::Handler { executor: executor.clone(), shown: shown.clone(), reloader, shutdown };
-        let frontend = frontend::Frontend {
+        let frontend = accept::Frontend {
             executor: executor.clone(),
             driver: driver.clone(),
             pool: pool.clone(),
@@ -120,7 +111,7 @@
             doubts,
             longest_deadline,
             open_ids: RefCell::default(),
-            sessions: sessions::Sessions::default(),
+            sessions: session_keys::Sessions::default(),
             full_retry_after,
             ahead: Rc::new(read_ahead::Shared::new(SCRATCH)),
         };
@@ -128,16 +119,16 @@
         // The list last held comes first: a pooler serves from it while discovery is down.
         let follower = Follower::new(source, feed.clone(), counters);
         follower.take(&config.known, true);
-        let listener = startup::retried(|| frontend::listen(config.listen))
+        let listener = retry::retried(|| accept::listen(config.listen))
             .map_err(|error| RunError::Listen(config.listen, error))?;
         let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
         signals::listen(handler).map_err(RunError::Signals)?;
         let (a, b) = (driver.clone(), pool.clone());
         executor.spawn(async move { a.run_wakes().await }).detach();
         executor.spawn(async move { b.run_upkeep().await }).detach();
-        executor.spawn(probes::run(executor.clone(), driver, pool, wanted)).detach();
-        executor.spawn(discovery::run(follower, config.known.generation, pauses)).detach();
-        executor.spawn(frontend::run(Rc::new(frontend), listener)).detach();
+        executor.spawn(health_checks::run(executor.clone(), driver, pool, wanted)).detach();
+        executor.spawn(watch::run(follower, config.known.generation, pauses)).detach();
+        executor.spawn(accept::run(Rc::new(frontend), listener)).detach();
         Ok(Self { executor, life, shown, feed, name: config.name, listening })
     }
 
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,8 +1,8 @@
 //! SIGHUP: the configuration is read again, and discovery followed where it says.
 
 use crate::config::Config;
-use crate::counters::Counters;
-use crate::discovery::Source;
+use crate::discovery::watch::Source;
+use crate::metrics::Counters;
 use async_io::Timer;
 use std::cell::Cell;
 use std::path::PathBuf;
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/lifecycle/retry.rs
@@ -1,6 +1,6 @@
 //! What a start needs from the system, asked for again while it is not to be had for a moment.
 
-use crate::upstream::shortage;
+use crate::server::pool::shortage;
 use std::io;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,8 +1,8 @@
 //! The planned end: the pooler serves on while there is time, then closes clients as they fall idle, and ends when none
 //! is left or the time is over.
 
-use crate::life::Life;
-use crate::slots::Slots;
+use crate::client::connection_slots::Slots;
+use crate::lifecycle::stages::Life;
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -1,9 +1,9 @@
 //! Signals: SIGTERM or SIGINT drains the pooler, SIGHUP reads the configuration again, SIGUSR1 prints the counters.
 
-use crate::counters::Shown;
-use crate::reload::Reloader;
-use crate::shutdown::Shutdown;
-use crate::startup::retried;
+use crate::lifecycle::reload::Reloader;
+use crate::lifecycle::retry::retried;
+use crate::lifecycle::shutdown::Shutdown;
+use crate::metrics::Shown;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
--- a/crates/proxy/src/life.rs
+++ b/crates/proxy/src/lifecycle/stages.rs
@@ -1,6 +1,6 @@
 //! How far the life of a pooler has come, each stage raised once and in this order.
 
-use crate::flag::Flag;
+use crate::latch::Flag;
 
 /// The stages of a pooler's end.
 #[derive(Debug, Default)]
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,8 +1,8 @@
 //! The life of a request, from when it is taken to its one final answer. Which protocol carries it is for
 //! [`Carrier`] to know.
 
-use super::driver::{Driver, Order};
 use crate::config::duration;
+use crate::router_handle::{Driver, Order};
 use futures_lite::future::{or, poll_fn};
 use pooler_routing::*;
 use std::cell::Cell;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/router_handle.rs
@@ -1,8 +1,8 @@
 //! The driver: it owns the module, feeds it what happens, and hands each action to whom it concerns: the
 //! request that is waiting for it, the prober, or the wake timer. It decides nothing.
 
-use super::clock::Clock;
-use super::counters::Counters;
+use crate::clock::Clock;
+use crate::metrics::Counters;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
--- a/crates/proxy/src/probes.rs
+++ b/crates/proxy/src/server/health_checks.rs
@@ -1,7 +1,7 @@
 //! Probes, as the module asks for them: each on its own, so that a silent member holds up no other.
 
-use crate::driver::Driver;
-use crate::upstream::Pool;
+use crate::router_handle::Driver;
+use crate::server::pool::Pool;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use pooler_routing::{EndpointId, Event};
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/server/pool.rs
@@ -1,12 +1,12 @@
 //! Connections to servers: opened when none is free, reused last in first out, within a budget.
 
-use super::buffer::{ReadBuffer, write_all};
-use super::counters::Counters;
-use super::driver::Driver;
-use super::members::Members;
-use super::pg::{self, Code, Notes, Part, PgError};
-use super::request::{Carrier, Ended, Sending};
+use crate::buffer::{ReadBuffer, write_all};
 use crate::config::HostSettings;
+use crate::discovery::endpoint_directory::Members;
+use crate::metrics::Counters;
+use crate::protocol::{self as pg, Code, Notes, Part, PgError};
+use crate::request::{Carrier, Ended, Sending};
+use crate::router_handle::Driver;
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::or;
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! When a pooler asks for its watch again, and how it reads what comes on one.
 
-use pooler_proxy::discovery::{CallEnd, Objects, ObjectsError, Pauses};
+use pooler_proxy::discovery::watch::{CallEnd, Objects, ObjectsError, Pauses};
 use std::time::Duration;
 
 /// How long discovery lets a call wait before it refuses it.
--- a/crates/proxy/tests/parsers.rs
+++ b/crates/proxy/tests/parsers.rs
@@ -1,6 +1,6 @@
 //! The parsers on anything at all: no panic, and no message before its last byte is there.
 
-use pooler_proxy::{http, pg};
+use pooler_proxy::{discovery::http, protocol as pg};
 use pooler_routing::LoadReportField;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -1,9 +1,9 @@
 //! What becomes of a request whose client leaves in the moment in which an attempt could be written.
 
 use futures_lite::future::{block_on, poll_fn, poll_once};
-use pooler_proxy::counters::Counters;
-use pooler_proxy::driver::Driver;
+use pooler_proxy::metrics::Counters;
 use pooler_proxy::request::{Asked, Carrier, Cut, Ended, Final, Sending, serve};
+use pooler_proxy::router_handle::Driver;
 use pooler_routing::*;
 use std::cell::Cell;
 use std::pin::pin;
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,6 +1,6 @@
 //! The stages of a planned end, for every deadline that clients may have.
 
-use pooler_proxy::shutdown::Schedule;
+use pooler_proxy::lifecycle::shutdown::Schedule;
 use std::time::Duration;
 
 /// New connections keep coming for so long after SIGTERM.
--- a/crates/proxy/tests/signals.rs
+++ b/crates/proxy/tests/signals.rs
@@ -1,6 +1,6 @@
 //! What signals ask for.
 
-use pooler_proxy::signals::{Command, Requests};
+use pooler_proxy::lifecycle::signals::{Command, Requests};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::low_level::raise;
 
--- a/crates/testbed/src/boxes.rs
+++ b/crates/testbed/src/boxes.rs
@@ -2,7 +2,7 @@
 
 use crate::ledger::Ledger;
 use crate::{lock, say};
-use pooler_proxy::pg::{self, write};
+use pooler_proxy::protocol::{self as pg, write};
 use std::io::{Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::ledger::{Ledger, Seen};
 use crate::lock;
-use pooler_proxy::pg::{self, write};
+use pooler_proxy::protocol::{self as pg, write};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::io::{Read, Write};
--- a/crates/testbed/src/family.rs
+++ b/crates/testbed/src/family.rs
@@ -4,7 +4,7 @@
 use crate::boxes::field;
 use crate::lock;
 use crate::say::{notes, row};
-use pooler_proxy::pg::{self, write};
+use pooler_proxy::protocol::{self as pg, write};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/testbed/src/say.rs
+++ b/crates/testbed/src/say.rs
@@ -1,6 +1,6 @@
 //! What a box says in PostgreSQL's protocol.
 
-use pooler_proxy::pg::write;
+use pooler_proxy::protocol::write;
 
 fn message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
