--- a/crates/pooler/src/registry.rs
+++ b/crates/pooler/src/registry.rs
@@ -2,7 +2,7 @@
 
 use pooler_operator_config::{ReadWhat, RegistrySettings};
 use pooler_proxy::Pooler;
-use pooler_proxy::discovery::endpoint_directory::{Feed, REGISTRY};
+use pooler_proxy::discovery::endpoint_directory::{EndpointUpdates, REGISTRY};
 use pooler_routing::membership::{MergeResult, SelfPreservation, WatchEvent};
 use pooler_routing::{Lifecycle, TimeDelta, Timestamp};
 use pooler_service_registry::client::{Access, Client, Server, SetupError};
@@ -104,17 +104,17 @@
 }
 
 struct Members {
-    feed: Feed,
+    updates: EndpointUpdates,
     life: Rc<Life>,
 }
 
 impl Sink for Members {
     fn now(&self) -> Timestamp {
-        self.feed.now()
+        self.updates.now()
     }
 
     fn tell(&self, news: WatchEvent) -> MergeResult {
-        let taken = self.feed.tell(REGISTRY, news);
+        let taken = self.updates.apply(REGISTRY, news);
         // It can serve once it knows somebody to serve from.
         let serves = taken.changed.iter().any(|entry| entry.lifecycle == Lifecycle::Active);
         if serves && self.life.status() == Some(Status::Starting) {
@@ -142,19 +142,19 @@
 ) -> Result<impl Future<Output = ()> + use<>, SetupError> {
     let registry = registry(settings, Some((name, pooler.listening())))?;
     let (life, counters) = (Rc::new(Life::starting()), Rc::new(Counters::default()));
-    let sink = || Members { feed: pooler.feed(), life: life.clone() };
-    pooler.feed().doubt(REGISTRY, registry.doubt);
+    let sink = || Members { updates: pooler.endpoint_updates(), life: life.clone() };
+    pooler.endpoint_updates().set_self_preservation(REGISTRY, registry.doubt);
     if let Some(registrar) = Registrar::new(&registry, sink(), counters.clone())? {
         pooler.spawn(registrar.run(life.clone()));
-        let (whole, life) = (pooler.life(), life.clone());
+        let (stages, life) = (pooler.shutdown_stages(), life.clone());
         pooler.spawn(async move {
-            whole.draining.raised().await;
+            stages.draining.wait().await;
             life.set(Some(Status::OutOfService));
         });
     }
     let registers = registry.own.is_some();
     let follower = Follower::new(registry, seed, sink(), counters.clone())?;
-    pooler.show(counters);
+    pooler.add_to_status_report(counters);
     pooler.spawn(follower.run());
     Ok(async move {
         if registers {
--- a/crates/pooler/tests/crossings.rs
+++ b/crates/pooler/tests/crossings.rs
@@ -28,9 +28,9 @@
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
     client.send(&menu("1"));
-    assert!(counted(&pooler, " dials=1 "));
+    assert!(counted(&pooler, " server_connections_opened=1 "));
     drop(client);
-    assert!(counted(&pooler, " gone=1 "));
+    assert!(counted(&pooler, " client_disconnects=1 "));
     drop(open);
     // Served after it, on a connection of its own: by then the first has come up as well.
     assert_eq!(Client::connect(&pooler).ask(&menu("2")).value.as_deref(), Some(&b"s-1"[..]));
@@ -53,9 +53,9 @@
     let (_, watch) = discovery.watch();
     let mut client = Client::connect(&pooler);
     client.send(&top_up("1"));
-    assert!(counted(&pooler, " outcome.miss=1"));
+    assert!(counted(&pooler, " outcome.not_eligible=1"));
     drop(client);
-    assert!(counted(&pooler, " gone=1 "));
+    assert!(counted(&pooler, " client_disconnects=1 "));
     watch.send(Some(list(42, false, vec![primary.entry("up", "master")]))).unwrap();
     assert_eq!(Client::connect(&pooler).ask(&top_up("2")).value.as_deref(), Some(&b"s-2"[..]));
     assert_eq!(primary.got().len(), 1, "only what is still asked: {:?}", primary.got());
@@ -99,7 +99,7 @@
         std::thread::yield_now();
     }
     drop(client);
-    assert!(counted(&pooler, " gone=1 "));
+    assert!(counted(&pooler, " client_disconnects=1 "));
     drop(open);
     let mut next = Client::connect(&pooler);
     for id in ["2", "3", "4"] {
@@ -115,7 +115,7 @@
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
     client.send(&menu("1"));
-    assert!(counted(&pooler, " dials=1 "));
+    assert!(counted(&pooler, " server_connections_opened=1 "));
     pooler.signal("TERM");
     pooler.logged("draining");
     (open, server, pooler, client)
@@ -273,9 +273,12 @@
         }
         client.0.put(&ahead);
     }
-    assert!(counted(&pooler, " taken=20 "));
+    assert!(counted(&pooler, " requests=20 "));
     drop(clients);
-    assert!(counted(&pooler, " gone=20 "), "all are noticed while their first requests are out");
+    assert!(
+        counted(&pooler, " client_disconnects=20 "),
+        "all are noticed while their first requests are out"
+    );
     drop(open);
     assert_eq!(Client::connect(&pooler).ask(&menu("last")).value.as_deref(), Some(&b"s-1"[..]));
     let later: Vec<_> =
@@ -351,7 +354,7 @@
     for at in 1..=15 {
         let mut client = Client::connect(&pooler);
         client.send(&menu(&format!("busy-{at}")));
-        assert!(counted(&pooler, &format!(" taken={at} ")));
+        assert!(counted(&pooler, &format!(" requests={at} ")));
         clients.push(client);
     }
     (open, server, pooler, clients)
@@ -508,12 +511,12 @@
         let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
         let mut client = Client::connect(&pooler);
         client.send(&menu("gone"));
-        assert!(counted(&pooler, " dials=1 "));
+        assert!(counted(&pooler, " server_connections_opened=1 "));
         held_up(&pooler, || {
             drop(client);
             drop(open);
         });
-        assert!(counted(&pooler, " gone=1 "));
+        assert!(counted(&pooler, " client_disconnects=1 "));
         assert_eq!(Client::connect(&pooler).ask(&menu("next")).value.as_deref(), Some(&b"s-1"[..]));
         assert!(server.got().iter().all(|of| of.contains("id=next,")), "{round}: {:?}", server.got());
     }
@@ -527,7 +530,7 @@
         let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
         let mut client = Client::connect(&pooler);
         client.send(&menu("late").replace("d=8000", "d=200"));
-        assert!(counted(&pooler, " dials=1 "));
+        assert!(counted(&pooler, " server_connections_opened=1 "));
         held_up(&pooler, || drop(open));
         assert_eq!(client.answer().code.as_deref(), Some("53300"));
         assert_eq!(client.ask(&menu("next")).value.as_deref(), Some(&b"s-1"[..]));
--- a/crates/pooler/tests/sockets.rs
+++ b/crates/pooler/tests/sockets.rs
@@ -53,7 +53,9 @@
     };
     assert_eq!(server.got().iter().map(ids).collect::<Vec<_>>(), [menu("11"), menu("12")]);
     let counters = pooler.counters();
-    for count in [" taken=2 ", " sent=2 ", " served=2 ", " dials=1 ", " outcome.ok=2 "] {
+    for count in
+        [" requests=2 ", " attempts=2 ", " served=2 ", " server_connections_opened=1 ", " outcome.ok=2 "]
+    {
         assert!(counters.contains(count), "{counters}");
     }
 }
@@ -117,7 +119,7 @@
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
     let (mut client, mut beside) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send(&menu("1"));
-    while !pooler.counters().contains(" dials=1 ") {}
+    while !pooler.counters().contains(" server_connections_opened=1 ") {}
     // Asked later, and over: at least 300 ms have gone by.
     assert!(beside.ask(&menu("2").replace("d=8000", "d=300")).code.is_some());
     drop(open);
@@ -162,7 +164,7 @@
     let pooler = Pooler::on(&config.to_string());
     let (mut client, mut beside) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send(&menu("1").replace("bundle-menu", "my-recent"));
-    while !pooler.counters().contains(" sent=1 ") {}
+    while !pooler.counters().contains(" attempts=1 ") {}
     // Asked later, and over: the report is more than 300 ms old by now.
     assert!(beside.ask(&menu("2").replace("d=8000", "d=300")).code.is_some());
     drop(open);
@@ -286,7 +288,10 @@
     let mut client = Client::connect(&pooler);
     assert_eq!(client.ask(&menu("2")).value.as_deref(), Some(&b"s-1"[..]));
     let counters = pooler.counters();
-    assert!(counters.contains(" gone=1 ") && counters.contains(" outcome.cancelled=1 "), "{counters}");
+    assert!(
+        counters.contains(" client_disconnects=1 ") && counters.contains(" outcome.cancelled=1 "),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -324,7 +329,10 @@
     }
     assert_eq!(server.got().len(), 3);
     let counters = pooler.counters();
-    assert!(counters.contains(" outcome.ok=3 ") && counters.contains(" outcome.reset=0 "), "{counters}");
+    assert!(
+        counters.contains(" outcome.ok=3 ") && counters.contains(" outcome.connection_reset=0 "),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -348,7 +356,10 @@
     }
     assert_eq!(server.got().len(), 3);
     let counters = pooler.counters();
-    assert!(counters.contains(" unsettled=2 ") && counters.contains(" outcome.reset=0 "), "{counters}");
+    assert!(
+        counters.contains(" failed_validations=2 ") && counters.contains(" outcome.connection_reset=0 "),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -375,7 +386,7 @@
     assert_eq!(client.ask(&menu("1")).value.as_deref(), Some(&b"done"[..]));
     assert_eq!(server.got().len(), 1);
     let counters = pooler.counters();
-    assert!(counters.contains(" outcome.unreachable=1 "), "{counters}");
+    assert!(counters.contains(" outcome.connect_timeout=1 "), "{counters}");
     drop(open);
 }
 
@@ -504,7 +515,7 @@
         assert_eq!(client.ask(&menu("3")).value.as_deref(), Some(&b"s-2"[..]));
     }
     assert_eq!(busy_server.got().len(), before, "who is not on the new list gets nothing new");
-    assert!(pooler.counters().contains(" reloads=1 "));
+    assert!(pooler.counters().contains(" config_reloads=1 "));
     drop((busy, client));
     pooler.signal("TERM");
     assert!(pooler.child.wait().unwrap().success());
@@ -524,7 +535,7 @@
         client
     };
     let mut busy: Vec<Client> = (0..14).map(asking).collect();
-    while !pooler.counters().contains(" taken=14 ") {}
+    while !pooler.counters().contains(" requests=14 ") {}
     // A further client takes the place of the idle one, once that has been idle for more than a moment.
     let further = || {
         let mut client = Client::dial(&pooler, b"");
@@ -535,7 +546,7 @@
     assert!(idle.0.message().is_none(), "the idle one made room");
     last.send(&menu("15"));
     busy.push(last);
-    while !pooler.counters().contains(" taken=15 ") {}
+    while !pooler.counters().contains(" requests=15 ") {}
     // Now all are busy. Who comes then is told in full: its connection is not reset with the request unread.
     let mut over = Client::on(TcpStream::connect(pooler.address).unwrap(), &menu("16"));
     let answer = over.answer();
@@ -547,7 +558,7 @@
     let served = answers.iter().filter(|answer| answer.value.is_some()).count();
     assert!(served >= 13, "as many as had a connection: {answers:?}");
     assert_eq!(served + answers.iter().filter(refused).count(), 15, "{answers:?}");
-    assert!(pooler.counters().contains(" outcome.connect_failed=0 "), "no member is blamed");
+    assert!(pooler.counters().contains(" outcome.connection_refused=0 "), "no member is blamed");
 }
 
 #[test]
@@ -648,7 +659,7 @@
     }
     assert!(pooler.child.wait().unwrap().success());
     let counters = pooler.logged("counters");
-    let kept = [format!(" taken={asked} "), format!(" served={asked} ")];
+    let kept = [format!(" requests={asked} "), format!(" served={asked} ")];
     assert!(kept.iter().all(|count| counters.contains(count)), "{asked} {counters}");
     assert!(TcpStream::connect(pooler.address).is_err());
     true
@@ -726,7 +737,7 @@
     client.0.put(&ahead);
     drop(client);
     // It is noticed while the first is still out, and what stands behind it goes with it.
-    let noticed = (0..2_000).any(|_| pooler.counters().contains(" gone=1 "));
+    let noticed = (0..2_000).any(|_| pooler.counters().contains(" client_disconnects=1 "));
     assert!(noticed, "it has gone");
     drop(open);
     assert_eq!(Client::connect(&pooler).ask(&menu("3")).value.as_deref(), Some(&b"s-1"[..]));
--- a/crates/proxy/src/client/accept.rs
+++ b/crates/proxy/src/client/accept.rs
@@ -5,9 +5,9 @@
 use crate::client::read_ahead::Shared;
 use crate::client::session::Client;
 use crate::client::session_keys::Sessions;
-use crate::lifecycle::stages::Life;
+use crate::lifecycle::stages::ShutdownStages;
 use crate::metrics::Counters;
-use crate::router_handle::Driver;
+use crate::router_handle::RouterHandle;
 use crate::server::pool::Pool;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -41,13 +41,13 @@
     /// What carries the tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     /// The module and its mailboxes.
-    pub(crate) driver: Rc<Driver>,
+    pub(crate) router: Rc<RouterHandle>,
     /// The connections to the members.
     pub(crate) pool: Rc<Pool>,
     /// What is counted.
     pub(crate) counters: Rc<Counters>,
     /// How far the pooler's life has come.
-    pub(crate) life: Rc<Life>,
+    pub(crate) stages: Rc<ShutdownStages>,
     /// The slots of the connections.
     pub(crate) slots: Rc<Slots>,
     /// The classes by name.
@@ -80,7 +80,7 @@
             Some(Ok((stream, room)))
         };
         let not_accepting = async {
-            frontend.life.not_accepting.raised().await;
+            frontend.stages.not_accepting.wait().await;
             None
         };
         match or(accepted, not_accepting).await {
@@ -91,8 +91,8 @@
                 yield_now().await;
             }
             // Out of descriptors: neither spin nor end. An idle connection is let go to make room.
-            Some(Err(error)) if crate::server::pool::shortage(&error) => {
-                frontend.counters.short.add();
+            Some(Err(error)) if crate::resource_exhaustion::is_resource_exhaustion(&error) => {
+                frontend.counters.resource_waits.increment();
                 if !frontend.pool.close_one_idle() {
                     frontend.slots.ask_one_to_go(Rank::Parting..=Rank::Idle);
                 }
@@ -107,7 +107,7 @@
 }
 
 fn admit(frontend: &Rc<Frontend>, stream: Async<TcpStream>, room: bool) {
-    frontend.counters.clients.add();
+    frontend.counters.client_connections.increment();
     // An answer held back until the one before is acknowledged would be lost with a connection that breaks. One that
     // can't be set so has ended already, as its first read tells.
     let _ = stream.get_ref().set_nodelay(true);
--- a/crates/proxy/src/client/connection_slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -6,7 +6,7 @@
 //! Who has asked gets a part as well: where clients may hold only so many connections, those that ask once and
 //! keep theirs would leave none for others.
 
-use crate::latch::Flag;
+use crate::latch::Latch;
 use async_io::Timer;
 use event_listener::Event as Bell;
 use futures_lite::future::or;
@@ -52,7 +52,7 @@
     number: Cell<u64>,
     freed: Bell,
     /// Who can be asked to go.
-    waiting: RefCell<BTreeMap<At, Rc<Flag>>>,
+    waiting: RefCell<BTreeMap<At, Rc<Latch>>>,
     silent: Cell<usize>,
     /// Nobody came before.
     started: Instant,
@@ -121,12 +121,12 @@
         drop(waiting);
         if let Some(flag) = self.leave(at) {
             self.taken.set(self.taken.get() - 1);
-            flag.raise();
+            flag.set();
         }
         true
     }
 
-    fn leave(&self, at: At) -> Option<Rc<Flag>> {
+    fn leave(&self, at: At) -> Option<Rc<Latch>> {
         let flag = self.waiting.borrow_mut().remove(&at);
         if flag.is_some() && at.0 == Rank::Silent {
             self.silent.set(self.silent.get() - 1);
@@ -163,14 +163,14 @@
     pub async fn yielding<T>(&self, rank: Rank, since: Instant, work: impl Future<Output = T>) -> Option<T> {
         // One that was asked to go and is still here, to close in order, holds its descriptor until it is asked again.
         self.stay();
-        let (flag, at) = (Rc::new(Flag::default()), (rank, since, self.number));
+        let (flag, at) = (Rc::new(Latch::default()), (rank, since, self.number));
         self.slots.waiting.borrow_mut().insert(at, flag.clone());
         if rank == Rank::Silent {
             self.slots.silent.set(self.slots.silent.get() + 1);
         }
         let wait = Wait { slot: self, at, flag };
         let done = or(async { Some(work.await) }, async {
-            wait.flag.raised().await;
+            wait.flag.wait().await;
             None
         });
         let done = done.await;
@@ -202,12 +202,12 @@
 struct Wait<'a> {
     slot: &'a Slot<'a>,
     at: At,
-    flag: Rc<Flag>,
+    flag: Rc<Latch>,
 }
 
 impl Drop for Wait<'_> {
     fn drop(&mut self) {
         self.slot.slots.leave(self.at);
-        self.slot.asked.set(self.flag.is_up());
+        self.slot.asked.set(self.flag.is_set());
     }
 }
--- a/crates/proxy/src/client/session.rs
+++ b/crates/proxy/src/client/session.rs
@@ -7,8 +7,8 @@
 use crate::client::session_keys::Session;
 use crate::protocol::write::{self, Severity};
 use crate::protocol::{self as pg, Asks, BackendKey, PgError, Startup};
-use crate::request::{Asked, Cut, Final, serve};
-use crate::server::pool::{Reply, Statement};
+use crate::request::{AbortReason, ClientRequest, FinalResponse, serve};
+use crate::server::pool::{ClientStatement, QueryResponse};
 use async_io::{Async, Timer};
 use futures_lite::future::{or, yield_now};
 use pooler_routing::*;
@@ -96,7 +96,7 @@
 /// What a command comes down to.
 enum Command {
     /// A request to route.
-    Request(Asked<Statement>, OpenId),
+    Request(ClientRequest<ClientStatement>, OpenId),
     /// Something answered here; the answer is in the buffer given.
     Answered,
     /// Something that is not served: the code and words of its error.
@@ -135,12 +135,12 @@
         };
         match ended {
             Err(ClientError::Pg(error)) => {
-                self.frontend.counters.rejected.add();
+                self.frontend.counters.rejected_statements.increment();
                 self.part("08P01", &error.to_string(), None).await
             }
             // What was read of a command is owed a word, as the rest of it may be on its way.
             Ok(EndedBy::Pooler) if self.has_begun_command() => {
-                self.frontend.counters.rejected.add();
+                self.frontend.counters.rejected_statements.increment();
                 self.part("57P03", "the connection ends before the command was read", None).await
             }
             // Who has asked nothing yet has no answer to lose.
@@ -181,7 +181,7 @@
         let enough = async {
             Timer::after(longest).await;
         };
-        let work = or(rest, or(enough, self.frontend.life.ended.raised()));
+        let work = or(rest, or(enough, self.frontend.stages.terminated.wait()));
         self.slot.yielding(Rank::Parting, Instant::now(), work).await;
         Ok(())
     }
@@ -212,7 +212,7 @@
             }
         }
         if !room {
-            self.frontend.counters.crowded_out.add();
+            self.frontend.counters.rejected_connections.increment();
             let retry_after = self.frontend.full_retry_after.map(retry_after_field);
             self.part("53300", "too many clients", retry_after.as_deref()).await?;
             return Ok(false);
@@ -259,7 +259,7 @@
                     self.send(&[&out]).await?;
                 }
                 Command::Rejected(code, words) => {
-                    self.frontend.counters.rejected.add();
+                    self.frontend.counters.rejected_statements.increment();
                     self.errors += 1;
                     if self.errors >= MOST_ERRORS {
                         self.part(code, &words, None).await?;
@@ -281,10 +281,10 @@
                 Command::Request(asked, open) => {
                     self.stage = Stage::Known;
                     // There is no time left to serve what stood behind others until now.
-                    if self.frontend.life.ending.is_up() {
-                        self.frontend.counters.taken.add();
-                        self.frontend.counters.refused.add();
-                        self.answer(Final::Refused(None), &mut out).await?;
+                    if self.frontend.stages.terminating.is_set() {
+                        self.frontend.counters.requests.increment();
+                        self.frontend.counters.rejected.increment();
+                        self.answer(FinalResponse::Rejected(None), &mut out).await?;
                     } else if !self.request(asked, &open.id, &mut out).await? {
                         return Ok(EndedBy::Client);
                     }
@@ -307,7 +307,7 @@
         while count > 0 {
             let mut out = Vec::new();
             for _ in 0..count.min(REFUSALS) {
-                self.frontend.counters.rejected.add();
+                self.frontend.counters.rejected_statements.increment();
                 write::error(&mut out, Severity::Error, "53300", "too many commands sent ahead", None);
                 write::ready(&mut out);
             }
@@ -323,7 +323,7 @@
         let Self { frontend, stream, buffer, ahead, slot, stage, since, .. } = self;
         let between = buffer.data().is_empty() && !ahead.is_passing_over() && *stage != Stage::Startup;
         // Who asks again as soon as it is answered would otherwise go on until the process ends under its request.
-        if between && frontend.life.ending.is_up() {
+        if between && frontend.stages.terminating.is_set() {
             return Ok(More::Ended(EndedBy::Pooler));
         }
         buffer.rest();
@@ -348,8 +348,8 @@
             Ok(More::Ended(EndedBy::Pooler))
         };
         let ending = async {
-            let ends = if between { &frontend.life.closing } else { &frontend.life.ending };
-            ends.raised().await;
+            let ends = if between { &frontend.stages.closing_idle } else { &frontend.stages.terminating };
+            ends.wait().await;
             Ok(More::Ended(EndedBy::Pooler))
         };
         let rank = if *stage == Stage::Known { Rank::Idle } else { Rank::Silent };
@@ -378,7 +378,14 @@
                             let (bytes, at) = self.buffer.detach(size);
                             let whole = at.start + 5..at.end;
                             let wait = wait.start + whole.start..wait.end + whole.start;
-                            return Ok(Command::Request(asked.with(Statement { bytes, whole, wait }), open));
+                            return Ok(Command::Request(
+                                asked.with(ClientStatement {
+                                    buffer: bytes,
+                                    text: whole,
+                                    timeout_digits: wait,
+                                }),
+                                open,
+                            ));
                         }
                         rejected = Some(("42601", "no class of this site, or an id in use".to_owned()));
                     }
@@ -405,7 +412,7 @@
     /// Serves a request and writes its one answer; false if the connection ends with it.
     async fn request(
         &mut self,
-        asked: Asked<Statement>,
+        asked: ClientRequest<ClientStatement>,
         id: &str,
         out: &mut Vec<u8>,
     ) -> Result<bool, ClientError> {
@@ -414,50 +421,56 @@
         let cancelled = session.cancelled.listen();
         let left = async {
             ahead.until_closed(stream, buffer).await;
-            Cut::ClientLeft
+            AbortReason::ClientDisconnected
         };
         let cancelled = async {
             cancelled.await;
-            Cut::Cancelled
+            AbortReason::CancelRequested
         };
         let ending = async {
-            frontend.life.ending.raised().await;
-            Cut::ProcessEnds
+            frontend.stages.terminating.wait().await;
+            AbortReason::Shutdown
         };
-        let answer = serve(&frontend.driver, &*frontend.pool, &asked, or(left, or(cancelled, ending))).await;
+        let answer = serve(&frontend.router, &*frontend.pool, &asked, or(left, or(cancelled, ending))).await;
         let (class, need) = &frontend.classes[asked.class.0];
         let in_doubt = match &answer {
-            Final::Failed { at } | Final::Cancelled { at } | Final::Gone { at } => {
-                at.as_ref().filter(|_| *need == Operation::Write)
+            FinalResponse::Failed { in_doubt_at }
+            | FinalResponse::Cancelled { in_doubt_at }
+            | FinalResponse::ClientDisconnected { in_doubt_at } => {
+                in_doubt_at.as_ref().filter(|_| *need == Operation::Write)
             }
             _ => None,
         };
         if let Some(at) = in_doubt {
-            frontend.doubts.add(id, class, Some(at.clone()), frontend.driver.clock.now());
+            frontend.doubts.add(id, class, Some(at.clone()), frontend.router.now());
         }
-        self.buffer.give_back(asked.query.bytes);
+        self.buffer.give_back(asked.query.buffer);
         self.ahead.kept(self.buffer.data().len());
         self.answer(answer, out).await
     }
 
     /// Writes the one answer to a request; false if the connection ends with it.
-    async fn answer(&self, answer: Final<Reply>, out: &mut Vec<u8>) -> Result<bool, ClientError> {
-        let ends = matches!(answer, Final::Gone { .. });
+    async fn answer(
+        &self,
+        answer: FinalResponse<QueryResponse>,
+        out: &mut Vec<u8>,
+    ) -> Result<bool, ClientError> {
+        let ends = matches!(answer, FinalResponse::ClientDisconnected { .. });
         let severity = if ends { Severity::Fatal } else { Severity::Error };
         let (code, words, detail) = match answer {
-            Final::Served(reply) => {
+            FinalResponse::Served(reply) => {
                 write::ready(out);
-                let pieces: Vec<&[u8]> = reply.pieces().chain([out.as_slice()]).collect();
+                let pieces: Vec<&[u8]> = reply.messages().chain([out.as_slice()]).collect();
                 self.send(&pieces).await?;
                 return Ok(true);
             }
-            Final::Refused(retry_after) => ("53300", REFUSED, retry_after.map(retry_after_field)),
+            FinalResponse::Rejected(retry_after) => ("53300", REFUSED, retry_after.map(retry_after_field)),
             // It may have closed its own side only, and listen.
-            Final::Gone { at: None } => ("53300", REFUSED, None),
-            Final::Failed { .. } | Final::Gone { .. } => {
+            FinalResponse::ClientDisconnected { in_doubt_at: None } => ("53300", REFUSED, None),
+            FinalResponse::Failed { .. } | FinalResponse::ClientDisconnected { .. } => {
                 ("08007", "no answer; it may have been carried out", None)
             }
-            Final::Cancelled { .. } => ("57014", "canceled by its client", None),
+            FinalResponse::Cancelled { .. } => ("57014", "canceled by its client", None),
         };
         write::error(out, severity, code, words, detail.as_deref());
         if !ends {
@@ -496,7 +509,12 @@
 
 impl Frontend {
     /// The request that a statement makes that came so long ago; `None` if its class is unknown.
-    fn asked(&self, statement: &str, comment: &pg::Comment<'_>, waited: Duration) -> Option<Asked<()>> {
+    fn asked(
+        &self,
+        statement: &str,
+        comment: &pg::Comment<'_>,
+        waited: Duration,
+    ) -> Option<ClientRequest<()>> {
         let at = self.classes.iter().position(|(name, _)| name == comment.class)?;
         let span = |time: Duration| TimeDelta(i64::try_from(time.as_micros()).unwrap_or(i64::MAX));
         let longest = span(self.longest_deadline);
@@ -507,11 +525,11 @@
             key.hash(&mut hasher);
             SessionKey(hasher.finish())
         });
-        Some(Asked {
+        Some(ClientRequest {
             class: ClassId(at),
             session,
             group: GroupId(comment.cluster),
-            deadline: self.driver.clock.now() - span(waited)
+            deadline: self.router.now() - span(waited)
                 + TimeDelta((comment.wait_ms * 1_000.0) as i64).min(longest),
             last_write: comment.after_ms.map(|ms| Timestamp((ms * 1_000.0) as i64)),
             query: (),
@@ -519,9 +537,9 @@
     }
 }
 
-impl Asked<()> {
-    fn with(self, query: Statement) -> Asked<Statement> {
+impl ClientRequest<()> {
+    fn with(self, query: ClientStatement) -> ClientRequest<ClientStatement> {
         let Self { class, session, group, deadline, last_write, .. } = self;
-        Asked { class, session, group, deadline, last_write, query }
+        ClientRequest { class, session, group, deadline, last_write, query }
     }
 }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,37 +1,37 @@
-//! The clock of the sockets: Unix time in microseconds, read once and carried on by the steady clock, so that
+//! The pooler's clock: Unix time in microseconds, read once at the start and carried on by the monotonic clock, so that
 //! it never runs backwards.
 
-use pooler_routing::{TimeDelta, Timestamp};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use crate::time_conversion::{to_duration, to_time_delta};
+use pooler_routing::Timestamp;
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+/// The Unix epoch on the router's time scale.
+const EPOCH: Timestamp = Timestamp(0);
 
 /// Unix time that only moves forward.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
-    unix: Timestamp,
+    started_unix: Timestamp,
 }
 
 impl Clock {
     /// A clock anchored at the system's time.
     #[must_use]
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started: Instant::now(), unix: Timestamp(micros(unix)) }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { started: Instant::now(), started_unix: EPOCH + to_time_delta(since_epoch) }
     }
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Timestamp {
-        self.unix + TimeDelta(micros(self.started.elapsed()))
+        self.started_unix + to_time_delta(self.started.elapsed())
     }
 
-    /// When `at` is on the steady clock.
+    /// The instant of the monotonic clock at which this clock shows `timestamp`; the start, if that is earlier.
     #[must_use]
-    pub fn instant(&self, at: Timestamp) -> Instant {
-        self.started + crate::config::duration(at - self.unix)
+    pub fn instant(&self, timestamp: Timestamp) -> Instant {
+        self.started + to_duration(timestamp - self.started_unix)
     }
 }
-
-fn micros(duration: Duration) -> i64 {
-    i64::try_from(duration.as_micros()).unwrap_or(i64::MAX)
-}
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,7 +1,8 @@
 //! What the daemon is told: its configuration and the lists of discovery, decoded into plain types.
 //! Keys that mean nothing here are ignored.
 
-use crate::lifecycle::retry::retried;
+use crate::startup_retry::retry_transient;
+use crate::time_conversion::to_duration;
 use pooler_routing::membership::{EndpointClaim, RecordVersion, WatchEvent};
 use pooler_routing::settings::{SettingsError, SettingsMap, duration_from_millis};
 use pooler_routing::*;
@@ -80,12 +81,12 @@
     /// What the module is told.
     pub settings: Settings,
     /// What the sockets are told.
-    pub host: HostSettings,
+    pub host: ProxySettings,
 }
 
 /// The settings that concern the host rather than the decisions.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HostSettings {
+pub struct ProxySettings {
     /// A connection that is not up after this has failed.
     pub dial_timeout: Duration,
     /// Servers close connections idle for this.
@@ -148,7 +149,7 @@
     ///
     /// When it can't be read or decoded.
     pub fn load_at_start(path: &Path) -> Result<Self, ConfigError> {
-        Self::read(path, retried(|| std::fs::read_to_string(path)))
+        Self::read(path, retry_transient(|| std::fs::read_to_string(path)))
     }
 
     fn read(path: &Path, text: std::io::Result<String>) -> Result<Self, ConfigError> {
@@ -166,7 +167,7 @@
         let file: File = serde_json::from_str(text)?;
         let pairs = SettingsMap::from_json(&file.settings);
         let mut settings = pairs.settings()?;
-        let host = HostSettings::decode(&pairs)?;
+        let host = ProxySettings::decode(&pairs)?;
         // Positions on sockets are Unix times, and so is the clock of this host.
         settings.position_epoch = Timestamp(0);
         // This host keeps the list followed by itself, and one attempt of a request out at a time.
@@ -188,10 +189,10 @@
     }
 }
 
-impl HostSettings {
+impl ProxySettings {
     fn decode(pairs: &SettingsMap) -> Result<Self, SettingsError> {
         let time = |key: &str, absent| {
-            Ok::<_, SettingsError>(duration(duration_from_millis(pairs.amount_or(key, absent)?)))
+            Ok::<_, SettingsError>(to_duration(duration_from_millis(pairs.amount_or(key, absent)?)))
         };
         let mut longest_deadline = Duration::ZERO;
         for at in 0..pairs.amount("Lanes.count")? as usize {
@@ -208,12 +209,6 @@
     }
 }
 
-/// The span as the standard library has it; none for a negative one.
-#[must_use]
-pub fn duration(span: TimeDelta) -> Duration {
-    Duration::from_micros(u64::try_from(span.0).unwrap_or(0))
-}
-
 /// A list of servers, or the changes since an earlier one.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct ServerList {
--- a/crates/proxy/src/discovery/endpoint_directory.rs
+++ b/crates/proxy/src/discovery/endpoint_directory.rs
@@ -1,83 +1,76 @@
-//! Who the members are at this moment, by all sources that there are, and the way in for what these tell.
+//! The directory of all endpoints, merged from all sources, and the way in for what these sources report.
 
-use crate::router_handle::Driver;
-use pooler_routing::membership::{
-    Membership, MergeResult, ResolvedEndpoint, SelfPreservation, SourceId, WatchEvent,
-};
-use pooler_routing::*;
+use crate::router_handle::RouterHandle;
+use pooler_routing::membership::{Membership, MergeResult, SelfPreservation, SourceId, WatchEvent};
+use pooler_routing::{EndpointId, EndpointUpdate, Event, TimeDelta, Timestamp};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The platform's list, as discovery pushes it.
+/// The platform's discovery, which is watched.
 pub const PLATFORM: SourceId = SourceId(0);
-/// A registry.
+/// A service registry.
 pub const REGISTRY: SourceId = SourceId(1);
 
-/// Who has been gone for so long is forgotten, and sooner if they are more than so many. It bounds what is held of
-/// members that came and went; a claim staler than that would count as news.
-const REMEMBERS: TimeDelta = TimeDelta::from_millis(15 * 60 * 1_000);
-const MOST_GONE: usize = 16 * 1024;
+/// For how long a removed endpoint is remembered. It bounds what is held of endpoints that came and went; a claim that
+/// is staler than this would count as new.
+const REMOVED_RETENTION: TimeDelta = TimeDelta::from_millis(15 * 60 * 1_000);
+/// Beyond so many removed endpoints the earliest are forgotten sooner.
+const MAX_REMOVED: usize = 16 * 1024;
 
-/// The members by id.
+/// The endpoints by id.
 #[derive(Debug)]
-pub struct Members(RefCell<Membership>);
+pub struct EndpointDirectory(RefCell<Membership>);
 
-impl Default for Members {
+impl Default for EndpointDirectory {
     fn default() -> Self {
-        Self(RefCell::new(Membership::new(REMEMBERS, MOST_GONE)))
+        Self(RefCell::new(Membership::new(REMOVED_RETENTION, MAX_REMOVED)))
     }
 }
 
-impl Members {
-    /// Where a member listens.
+impl EndpointDirectory {
+    /// Where an endpoint listens.
     #[must_use]
-    pub fn address(&self, member: &EndpointId) -> Option<SocketAddr> {
-        self.0.borrow().get(member).and_then(|known| known.address)
-    }
-
-    /// All that are known, by id.
-    #[must_use]
-    pub fn all(&self) -> Vec<(EndpointId, ResolvedEndpoint)> {
-        self.0.borrow().iter().map(|(id, known)| (id.clone(), known.clone())).collect()
+    pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
+        self.0.borrow().get(endpoint).and_then(|resolved| resolved.address)
     }
 }
 
-/// The way in for what a source tells: the members know it before the module does, so that nothing is sent to who has
-/// just been told to drain.
+/// The way in for what a source reports: the directory holds it before the router hears of it, so that nothing is sent
+/// to an endpoint that has just begun to drain.
 #[derive(Clone)]
-pub struct Feed {
-    members: Rc<Members>,
-    driver: Rc<Driver>,
+pub struct EndpointUpdates {
+    directory: Rc<EndpointDirectory>,
+    router: Rc<RouterHandle>,
 }
 
-impl Feed {
-    /// A way in to these.
+impl EndpointUpdates {
+    /// The way into this directory and this router.
     #[must_use]
-    pub fn new(members: Rc<Members>, driver: Rc<Driver>) -> Self {
-        Self { members, driver }
+    pub fn new(directory: Rc<EndpointDirectory>, router: Rc<RouterHandle>) -> Self {
+        Self { directory, router }
     }
 
-    /// Says how a source's full lists are doubted.
-    pub fn doubt(&self, source: SourceId, doubt: SelfPreservation) {
-        self.members.0.borrow_mut().set_self_preservation(source, doubt);
+    /// Sets when a source's snapshots are not believed.
+    pub fn set_self_preservation(&self, source: SourceId, self_preservation: SelfPreservation) {
+        self.directory.0.borrow_mut().set_self_preservation(source, self_preservation);
     }
 
-    /// The time on the clock that sources and module share: Unix, in microseconds.
+    /// The time on the clock that sources and router share: Unix time in microseconds.
     #[must_use]
     pub fn now(&self) -> Timestamp {
-        self.driver.clock.now()
+        self.router.now()
     }
 
-    /// Takes news in and passes what it changes to the module at once.
-    pub fn tell(&self, source: SourceId, news: WatchEvent) -> MergeResult {
-        let taken = self.members.0.borrow_mut().merge(self.now(), source, news);
-        if !taken.changed.is_empty() {
-            self.driver.feed(Event::EndpointUpdate(EndpointUpdate::Delta(taken.changed.clone())));
+    /// Merges a source's event into the directory, and passes what it changes on to the router at once.
+    pub fn apply(&self, source: SourceId, event: WatchEvent) -> MergeResult {
+        let result = self.directory.0.borrow_mut().merge(self.now(), source, event);
+        if !result.changed.is_empty() {
+            self.router.dispatch(Event::EndpointUpdate(EndpointUpdate::Delta(result.changed.clone())));
         }
-        if !taken.evicted.is_empty() {
-            self.driver.feed(Event::EndpointUpdate(EndpointUpdate::Evicted(taken.evicted.clone())));
+        if !result.evicted.is_empty() {
+            self.router.dispatch(Event::EndpointUpdate(EndpointUpdate::Evicted(result.evicted.clone())));
         }
-        taken
+        result
     }
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -2,10 +2,10 @@
 
 use crate::buffer::{ReadBuffer, write_all};
 use crate::config::ServerList;
-use crate::discovery::endpoint_directory::{Feed, PLATFORM};
+use crate::discovery::endpoint_directory::{EndpointUpdates, PLATFORM};
 use crate::discovery::http::{self, HttpError};
 use crate::metrics::Counters;
-use crate::server::pool::shortage;
+use crate::resource_exhaustion::is_resource_exhaustion;
 use async_io::{Async, Timer};
 use event_listener::Event as Bell;
 use futures_lite::future::or;
@@ -113,24 +113,24 @@
 /// What follows the platform's list.
 pub struct Follower {
     source: Rc<Source>,
-    feed: Feed,
+    updates: EndpointUpdates,
     counters: Rc<Counters>,
     /// The number of the last message: what comes later is newer.
     messages: Cell<i64>,
 }
 
 impl Follower {
-    /// One that follows `source` and tells `feed`.
+    /// One that follows `source` and tells `updates`.
     #[must_use]
-    pub fn new(source: Rc<Source>, feed: Feed, counters: Rc<Counters>) -> Self {
-        Self { source, feed, counters, messages: Cell::new(0) }
+    pub fn new(source: Rc<Source>, updates: EndpointUpdates, counters: Rc<Counters>) -> Self {
+        Self { source, updates, counters, messages: Cell::new(0) }
     }
 
     /// Takes a list in; `whole` overrides what it says of itself.
     pub fn take(&self, list: &ServerList, whole: bool) {
         let number = self.messages.get() + 1;
         self.messages.set(number);
-        self.feed.tell(PLATFORM, list.news(number, whole));
+        self.updates.apply(PLATFORM, list.news(number, whole));
     }
 }
 
@@ -143,7 +143,7 @@
             moved.await;
             continue;
         };
-        node.counters.watches.add();
+        node.counters.watches_opened.increment();
         // An old address may stay silent, and what the new one has to tell binds soon: the watch moves at once.
         let left = async {
             moved.await;
@@ -152,7 +152,7 @@
         let ended = or(watch(&node, address, &mut generation), left).await;
         let call_end = match &ended {
             Err(WatchError::Http(HttpError::Status(_))) => CallEnd::Refused,
-            Err(WatchError::Io(error)) if shortage(error) => CallEnd::NotMade,
+            Err(WatchError::Io(error)) if is_resource_exhaustion(error) => CallEnd::NotMade,
             _ => CallEnd::Broken,
         };
         match ended {
--- a/crates/proxy/src/latch.rs
+++ b/crates/proxy/src/latch.rs
@@ -1,33 +1,34 @@
-//! A flag that is raised once and can be waited for.
+//! A one-way latch: set once, and awaited by any number of tasks.
 
 use event_listener::Event;
 use std::cell::Cell;
 
-/// Raised once, never lowered.
+/// A condition that starts out unset, and stays set once it was set.
 #[derive(Debug, Default)]
-pub struct Flag {
-    up: Cell<bool>,
-    event: Event,
+pub struct Latch {
+    set: Cell<bool>,
+    changed: Event,
 }
 
-impl Flag {
-    /// Whether it is up.
+impl Latch {
+    /// Whether it was set.
     #[must_use]
-    pub fn is_up(&self) -> bool {
-        self.up.get()
+    pub fn is_set(&self) -> bool {
+        self.set.get()
     }
 
-    /// Raises it and wakes all who wait.
-    pub fn raise(&self) {
-        self.up.set(true);
-        self.event.notify(usize::MAX);
+    /// Sets it and wakes all tasks that wait for it.
+    pub fn set(&self) {
+        self.set.set(true);
+        self.changed.notify(usize::MAX);
     }
 
-    /// Waits until it is up.
-    pub async fn raised(&self) {
-        while !self.is_up() {
-            let listener = self.event.listen();
-            if !self.is_up() {
+    /// Waits until it is set; returns at once if it was.
+    pub async fn wait(&self) {
+        while !self.is_set() {
+            let listener = self.changed.listen();
+            // It may have been set before the listener was registered.
+            if !self.is_set() {
                 listener.await;
             }
         }
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -1,7 +1,6 @@
 //! The life of the process: start, signals, reload of the configuration, and graceful shutdown.
 
 pub(crate) mod reload;
-pub mod retry;
 pub mod shutdown;
 pub mod signals;
 pub mod stages;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -56,7 +56,7 @@
     }
 
     fn follow(&self, config: &Config) {
-        self.counters.reloads.add();
+        self.counters.config_reloads.increment();
         tracing::info!("configuration read again, discovery at {:?}", config.discovery);
         self.source.follow(config.discovery);
     }
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,68 +1,69 @@
-//! The planned end: the pooler serves on while there is time, then closes clients as they fall idle, and ends when none
-//! is left or the time is over.
+//! Graceful shutdown: the pooler serves on while there is time, then closes client connections as they fall idle, and
+//! exits when none is left or the time is over.
 
-use crate::client::connection_slots::Slots;
-use crate::lifecycle::stages::Life;
+use crate::lifecycle::stages::ShutdownStages;
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Connections keep arriving for up to 0.4 s after SIGTERM; until a little later nothing changes for clients,
+/// Connections keep arriving for up to 0.4 s after SIGTERM; until a little later nothing changes for clients.
 const ARRIVALS: Duration = Duration::from_millis(500);
-/// and for as long as there is this much time left for what is under way. Who has a connection has no other
-/// pooler while it lasts, so to close it early fails what would have been asked on it.
-const PARTING: Duration = Duration::from_millis(700);
-/// For this long after that a straggler is still accepted, served and closed.
-const STRAGGLERS: Duration = Duration::from_millis(250);
-/// SIGKILL comes no earlier than the longest deadline, counted as no more than this, and a grace.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
+/// Nothing changes for clients either for as long as there is this much time left for requests in flight. A client that
+/// has a connection uses no other pooler while it lasts, so to close it early fails what it would have asked on it.
+const CLOSING_TIME: Duration = Duration::from_millis(700);
+/// For this long after idle connections are closed a late client is still accepted, served and closed.
+const LATE_ARRIVALS: Duration = Duration::from_millis(250);
+/// SIGKILL comes no earlier than after the longest deadline, counted as no more than this, and a grace.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// The grace between the longest deadline and SIGKILL.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// What is still open so long before SIGKILL is answered at once.
-const MARGIN: Duration = Duration::from_millis(400);
-/// Short deadlines leave no more than this between the end of the process and SIGKILL.
-const LEAST_MARGIN: Duration = Duration::from_millis(50);
-/// The time in which those last answers are written.
-const FLUSH: Duration = Duration::from_millis(150);
-const LOOK: Duration = Duration::from_millis(10);
+/// Requests that are in flight so long before SIGKILL get their final response at once.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
+/// Short deadlines leave no more than this between the exit of the process and SIGKILL.
+const MIN_KILL_MARGIN: Duration = Duration::from_millis(50);
+/// The time in which those last responses are written.
+const FLUSH_TIME: Duration = Duration::from_millis(150);
+/// How often the connected clients are counted.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// When each stage of the end begins, counted from SIGTERM.
+/// When each stage of a shutdown begins, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// Idle clients are closed.
-    pub closing: Duration,
-    /// Nobody is accepted any more.
+    /// Idle client connections are closed.
+    pub closing_idle: Duration,
+    /// No client connection is accepted any more.
     pub not_accepting: Duration,
-    /// What is open gets its answer.
-    pub ending: Duration,
-    /// The process ends.
-    pub ended: Duration,
+    /// Requests in flight get their final response.
+    pub terminating: Duration,
+    /// The process exits.
+    pub terminated: Duration,
 }
 
 impl Schedule {
-    /// The schedule of a pooler whose clients wait no longer than this.
+    /// The schedule of a pooler whose clients have no longer deadline than this.
     #[must_use]
     pub fn new(longest_deadline: Duration) -> Self {
         let kill = Self::earliest_kill(longest_deadline);
-        // Accepting goes before the margin, the last answers before accepting.
-        let ending = (kill - MARGIN).max(ARRIVALS).min(kill - FLUSH - LEAST_MARGIN);
-        let closing = ending.saturating_sub(PARTING).max(ARRIVALS).min(ending);
-        let not_accepting = (closing + STRAGGLERS).min(ending);
-        Self { closing, not_accepting, ending, ended: ending + FLUSH }
+        // Where time is short, accepting goes before the margin, and the last responses before accepting.
+        let terminating = (kill - KILL_MARGIN).max(ARRIVALS).min(kill - FLUSH_TIME - MIN_KILL_MARGIN);
+        let closing_idle = terminating.saturating_sub(CLOSING_TIME).max(ARRIVALS).min(terminating);
+        let not_accepting = (closing_idle + LATE_ARRIVALS).min(terminating);
+        Self { closing_idle, not_accepting, terminating, terminated: terminating + FLUSH_TIME }
     }
 
-    /// The earliest SIGKILL.
+    /// The earliest SIGKILL, counted from SIGTERM.
     #[must_use]
     pub fn earliest_kill(longest_deadline: Duration) -> Duration {
-        longest_deadline.min(LONGEST_COUNTED) + KILL_GRACE
+        longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE
     }
 }
 
-/// Ends the pooler.
+/// Shuts the pooler down.
 pub(crate) struct Shutdown {
-    /// How far the pooler's life has come.
-    pub(crate) life: Rc<Life>,
-    /// The clients' slots: who is still there.
-    pub(crate) slots: Rc<Slots>,
+    /// The stages to set.
+    pub(crate) stages: Rc<ShutdownStages>,
+    /// Counts the client connections.
+    pub(crate) connected_clients: Box<dyn Fn() -> usize>,
     /// The longest deadline of any class.
     pub(crate) longest_deadline: Duration,
 }
@@ -72,22 +73,22 @@
     pub(crate) async fn run(self) {
         let started = Instant::now();
         let schedule = Schedule::new(self.longest_deadline);
-        self.life.draining.raise();
-        tracing::info!("draining with {} clients connected", self.slots.taken());
-        Timer::at(started + schedule.closing).await;
-        self.life.closing.raise();
+        self.stages.draining.set();
+        tracing::info!("draining with {} clients connected", (self.connected_clients)());
+        Timer::at(started + schedule.closing_idle).await;
+        self.stages.closing_idle.set();
         Timer::at(started + schedule.not_accepting).await;
-        self.life.not_accepting.raise();
-        self.clients_left(started + schedule.ending).await;
-        self.life.ending.raise();
-        self.clients_left(started + schedule.ended).await;
-        self.life.ended.raise();
+        self.stages.not_accepting.set();
+        self.no_clients_left(started + schedule.terminating).await;
+        self.stages.terminating.set();
+        self.no_clients_left(started + schedule.terminated).await;
+        self.stages.terminated.set();
     }
 
-    /// Waits until no client is left, or until then.
-    async fn clients_left(&self, limit: Instant) {
-        while self.slots.taken() > 0 && Instant::now() < limit {
-            Timer::after(LOOK).await;
+    /// Waits until no client is connected, but no longer than until `limit`.
+    async fn no_clients_left(&self, limit: Instant) {
+        while (self.connected_clients)() > 0 && Instant::now() < limit {
+            Timer::after(CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -1,9 +1,9 @@
 //! Signals: SIGTERM or SIGINT drains the pooler, SIGHUP reads the configuration again, SIGUSR1 prints the counters.
 
 use crate::lifecycle::reload::Reloader;
-use crate::lifecycle::retry::retried;
 use crate::lifecycle::shutdown::Shutdown;
-use crate::metrics::Shown;
+use crate::metrics::StatusReport;
+use crate::startup_retry::retry_transient;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
@@ -74,7 +74,7 @@
     /// What carries the tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     /// What is counted.
-    pub(crate) shown: Rc<Shown>,
+    pub(crate) status_report: Rc<StatusReport>,
     /// Reads the configuration again.
     pub(crate) reloader: Rc<Reloader>,
     /// Ends the pooler.
@@ -89,19 +89,19 @@
 pub(crate) fn listen(handler: Handler) -> io::Result<()> {
     // The flags come first: whatever the pipe tells is raised by then.
     let requests = Requests::register()?;
-    let signals = retried(|| Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1]))?;
+    let signals = retry_transient(|| Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1]))?;
     let executor = handler.executor.clone();
     executor.spawn(run(handler, requests, signals)).detach();
     Ok(())
 }
 
 async fn run(handler: Handler, requests: Requests, mut signals: Signals) {
-    let Handler { executor, shown, reloader, shutdown } = handler;
+    let Handler { executor, status_report, reloader, shutdown } = handler;
     let mut shutdown = Some(shutdown);
     loop {
         for command in requests.take() {
             match command {
-                Command::Report => shown.log(),
+                Command::Report => status_report.log(),
                 Command::Reload => executor.spawn(reloader.clone().reload()).detach(),
                 // Once is enough.
                 Command::End => {
--- a/crates/proxy/src/lifecycle/stages.rs
+++ b/crates/proxy/src/lifecycle/stages.rs
@@ -1,18 +1,18 @@
-//! How far the life of a pooler has come, each stage raised once and in this order.
+//! How far a graceful shutdown has come.
 
-use crate::latch::Flag;
+use crate::latch::Latch;
 
-/// The stages of a pooler's end.
+/// The stages of a graceful shutdown, set once each and in this order.
 #[derive(Debug, Default)]
-pub struct Life {
-    /// It has been told to end: it serves on, but wants nothing new for longer than that.
-    pub draining: Flag,
-    /// Idle clients are closed.
-    pub closing: Flag,
-    /// Nobody is accepted any more.
-    pub not_accepting: Flag,
-    /// What is open gets its answer now.
-    pub ending: Flag,
-    /// All is done.
-    pub ended: Flag,
+pub struct ShutdownStages {
+    /// Shutdown was requested: the pooler goes on serving, and takes on nothing that outlives it.
+    pub draining: Latch,
+    /// Idle client connections are closed.
+    pub closing_idle: Latch,
+    /// No client connection is accepted any more.
+    pub not_accepting: Latch,
+    /// Requests in flight get their final response now.
+    pub terminating: Latch,
+    /// The process may exit.
+    pub terminated: Latch,
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the pooler took in, sent and answered.
+//! Counters of the pooler's work, and the status report that shows them.
 
 use pooler_routing::AttemptOutcome;
 use std::cell::{Cell, RefCell};
@@ -7,128 +7,138 @@
 
 /// A count that only grows.
 #[derive(Debug, Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
-    /// One more.
-    pub fn add(&self) {
+impl Counter {
+    /// Adds one.
+    pub fn increment(&self) {
         self.0.set(self.0.get().saturating_add(1));
     }
 }
 
-/// All counts since the start.
+/// All counters since the start.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Client connections accepted.
-    pub clients: Count,
-    /// Client connections turned away for want of room.
-    pub crowded_out: Count,
-    /// Requests taken.
-    pub taken: Count,
-    /// Statements that were no request and got an error.
-    pub rejected: Count,
-    /// Attempts handed to the upstream side.
-    pub sent: Count,
-    /// Requests answered with a value.
-    pub served: Count,
-    /// Requests refused.
-    pub refused: Count,
-    /// Requests failed.
-    pub failed: Count,
-    /// Requests whose client left first.
-    pub gone: Count,
+    pub client_connections: Counter,
+    /// Client connections turned away since the pooler had no slot for them.
+    pub rejected_connections: Counter,
+    /// Requests handed to the router.
+    pub requests: Counter,
+    /// Statements that were answered with an error since they are not requests.
+    pub rejected_statements: Counter,
+    /// Attempts that the router dispatched to an endpoint.
+    pub attempts: Counter,
+    /// Requests answered with a result.
+    pub served: Counter,
+    /// Requests rejected: they did not run.
+    pub rejected: Counter,
+    /// Requests failed: nothing is promised about them.
+    pub failed: Counter,
+    /// Requests whose client disconnected before the response.
+    pub client_disconnects: Counter,
     /// Requests cancelled by their clients.
-    pub cancelled: Count,
+    pub cancelled: Counter,
     /// Connections opened to servers.
-    pub dials: Count,
-    /// Connections closed for what came behind an answer.
-    pub unsettled: Count,
-    /// Times that a connection had to wait for room in the own budget.
-    pub short: Count,
-    /// Probes sent.
-    pub probes: Count,
+    pub server_connections_opened: Counter,
+    /// Kept connections closed since they failed the validation before reuse.
+    pub failed_validations: Counter,
+    /// Times that a connection had to wait for descriptors, ports or memory of this machine, or for the pool's limit.
+    pub resource_waits: Counter,
+    /// Health checks sent.
+    pub health_checks: Counter,
     /// Configurations read again.
-    pub reloads: Count,
+    pub config_reloads: Counter,
     /// Watches of discovery opened.
-    pub watches: Count,
-    outcomes: [Count; 11],
+    pub watches_opened: Counter,
+    outcomes: [Counter; OUTCOME_NAMES.len()],
 }
 
-/// What is shown on request and at the end: the counters, and what others count beside them.
-#[derive(Default)]
-pub struct Shown {
-    /// The counters.
-    pub counters: Rc<Counters>,
-    beside: RefCell<Vec<Rc<dyn fmt::Display>>>,
-}
-
-impl Shown {
-    /// Has this shown as well.
-    pub fn add(&self, what: Rc<dyn fmt::Display>) {
-        self.beside.borrow_mut().push(what);
-    }
-
-    /// Writes all to the log, a line each.
-    pub fn log(&self) {
-        tracing::info!("{}", self.counters);
-        for what in self.beside.borrow().iter() {
-            tracing::info!("{what}");
-        }
-    }
-}
-
-const VERDICTS: [(AttemptOutcome, &str); 11] = [
+/// The name of each outcome of an attempt, in the order in which they are shown.
+const OUTCOME_NAMES: [(AttemptOutcome, &str); 11] = [
     (AttemptOutcome::Ok, "ok"),
     (AttemptOutcome::Error, "error"),
-    (AttemptOutcome::Rejected, "full"),
+    (AttemptOutcome::Rejected, "rejected"),
     (AttemptOutcome::Timeout, "timeout"),
-    (AttemptOutcome::ConnectionRefused, "connect_failed"),
-    (AttemptOutcome::ConnectTimeout, "unreachable"),
-    (AttemptOutcome::ConnectionLostBeforeSend, "broken"),
-    (AttemptOutcome::ConnectionReset, "reset"),
+    (AttemptOutcome::ConnectionRefused, "connection_refused"),
+    (AttemptOutcome::ConnectTimeout, "connect_timeout"),
+    (AttemptOutcome::ConnectionLostBeforeSend, "connection_lost_before_send"),
+    (AttemptOutcome::ConnectionReset, "connection_reset"),
     (AttemptOutcome::Cancelled, "cancelled"),
-    (AttemptOutcome::NotSent, "moot"),
-    (AttemptOutcome::NotEligible, "miss"),
+    (AttemptOutcome::NotSent, "not_sent"),
+    (AttemptOutcome::NotEligible, "not_eligible"),
 ];
 
 impl Counters {
-    /// Counts the end of an attempt.
-    pub fn outcome(&self, verdict: AttemptOutcome) {
-        for ((of, _), count) in VERDICTS.iter().zip(&self.outcomes) {
-            if *of == verdict {
-                count.add();
+    /// Counts the outcome of an attempt.
+    pub fn record_outcome(&self, outcome: AttemptOutcome) {
+        for ((named, _), counter) in OUTCOME_NAMES.iter().zip(&self.outcomes) {
+            if *named == outcome {
+                counter.increment();
             }
         }
     }
-}
 
-impl fmt::Display for Counters {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = [
-            ("clients", &self.clients),
-            ("crowded_out", &self.crowded_out),
-            ("taken", &self.taken),
-            ("rejected", &self.rejected),
-            ("sent", &self.sent),
+    /// The counters with their names, in the order in which they are shown.
+    fn named(&self) -> [(&'static str, &Counter); 16] {
+        [
+            ("client_connections", &self.client_connections),
+            ("rejected_connections", &self.rejected_connections),
+            ("requests", &self.requests),
+            ("rejected_statements", &self.rejected_statements),
+            ("attempts", &self.attempts),
             ("served", &self.served),
-            ("refused", &self.refused),
+            ("rejected", &self.rejected),
             ("failed", &self.failed),
-            ("gone", &self.gone),
+            ("client_disconnects", &self.client_disconnects),
             ("cancelled", &self.cancelled),
-            ("dials", &self.dials),
-            ("unsettled", &self.unsettled),
-            ("short", &self.short),
-            ("probes", &self.probes),
-            ("reloads", &self.reloads),
-            ("watches", &self.watches),
-        ];
+            ("server_connections_opened", &self.server_connections_opened),
+            ("failed_validations", &self.failed_validations),
+            ("resource_waits", &self.resource_waits),
+            ("health_checks", &self.health_checks),
+            ("config_reloads", &self.config_reloads),
+            ("watches_opened", &self.watches_opened),
+        ]
+    }
+}
+
+impl fmt::Display for Counters {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "counters")?;
-        for (name, count) in named {
-            write!(f, " {name}={}", count.0.get())?;
+        for (name, counter) in self.named() {
+            write!(f, " {name}={}", counter.0.get())?;
         }
-        for ((_, name), count) in VERDICTS.iter().zip(&self.outcomes) {
-            write!(f, " outcome.{name}={}", count.0.get())?;
+        for ((_, name), counter) in OUTCOME_NAMES.iter().zip(&self.outcomes) {
+            write!(f, " outcome.{name}={}", counter.0.get())?;
         }
         Ok(())
     }
 }
+
+/// What is logged on SIGUSR1 and at exit: the counters, and further sections that other parts add.
+#[derive(Default)]
+pub struct StatusReport {
+    counters: Rc<Counters>,
+    sections: RefCell<Vec<Rc<dyn fmt::Display>>>,
+}
+
+impl StatusReport {
+    /// A report of these counters, with no further sections.
+    #[must_use]
+    pub fn new(counters: Rc<Counters>) -> Self {
+        Self { counters, sections: RefCell::default() }
+    }
+
+    /// Adds a section, which is formatted anew each time that the report is logged.
+    pub fn add_section(&self, section: Rc<dyn fmt::Display>) {
+        self.sections.borrow_mut().push(section);
+    }
+
+    /// Writes the report to the log, a line for each section.
+    pub fn log(&self) {
+        tracing::info!("{}", self.counters);
+        for section in self.sections.borrow().iter() {
+            tracing::info!("{section}");
+        }
+    }
+}
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,10 +1,13 @@
-//! The life of a request, from when it is taken to its one final answer. Which protocol carries it is for
-//! [`Carrier`] to know.
+//! The life of a request, from when it is handed to the router to its one final response. The protocol is the
+//! [`AttemptTransport`]'s concern.
 
-use crate::config::duration;
-use crate::router_handle::{Driver, Order};
+use crate::router_handle::{RequestCommand, RequestHandle, RouterHandle};
+use crate::time_conversion::to_duration;
 use futures_lite::future::{or, poll_fn};
-use pooler_routing::*;
+use pooler_routing::{
+    AttemptCompletion, AttemptNumber, AttemptOutcome, ClassId, EndpointId, Event, GroupId, Request,
+    ResponseMetadata, SessionKey, TimeDelta, Timestamp,
+};
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::{Pin, pin};
@@ -12,59 +15,82 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// What takes an attempt to a member.
-pub trait Carrier {
+/// Carries attempts to endpoints.
+pub trait AttemptTransport {
     /// What the client asks, ready to be sent on.
     type Query;
-    /// What a member gave for it.
-    type Reply;
+    /// What an endpoint responds to it.
+    type Response;
 
-    /// Makes one attempt and waits no longer than `wait` for its end. Nothing below this may send it again.
-    /// When the future ends or is dropped, nothing of the attempt is out any more.
+    /// Makes one attempt and waits for its result for `timeout` at most. It is never sent twice on its own account.
+    /// Once the future has ended or is dropped, nothing of the attempt is in flight any more.
     fn attempt(
         &self,
-        member: &EndpointId,
+        endpoint: &EndpointId,
         query: &Self::Query,
-        wait: Duration,
-        sending: &Sending<'_>,
-    ) -> impl Future<Output = Ended<Self::Reply>>;
+        timeout: Duration,
+        context: &AttemptContext<'_>,
+    ) -> impl Future<Output = AttemptResult<Self::Response>>;
 }
 
-/// What an attempt asks before it is written, and tells once it is.
-pub struct Sending<'a> {
-    /// Whether it may still be written when its connection is there.
-    pub still_eligible: &'a dyn Fn() -> bool,
-    /// All of it is written: it may run.
-    pub sent: Cell<bool>,
+/// What a transport asks before it writes an attempt, and reports once it has.
+pub struct AttemptContext<'a> {
+    still_eligible: &'a dyn Fn() -> bool,
+    sent: Cell<bool>,
+}
+
+impl<'a> AttemptContext<'a> {
+    /// The context of an attempt that is not written yet. `still_eligible` asks the router whether it may be.
+    #[must_use]
+    pub fn new(still_eligible: &'a dyn Fn() -> bool) -> Self {
+        Self { still_eligible, sent: Cell::new(false) }
+    }
+
+    /// Whether the attempt may still be written, now that its connection is there.
+    #[must_use]
+    pub fn still_eligible(&self) -> bool {
+        (self.still_eligible)()
+    }
+
+    /// Records that all of the attempt is written: from now on it may run.
+    pub fn mark_sent(&self) {
+        self.sent.set(true);
+    }
+
+    /// Whether all of the attempt is written.
+    #[must_use]
+    pub fn is_sent(&self) -> bool {
+        self.sent.get()
+    }
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended<R> {
+pub struct AttemptResult<R> {
     /// The outcome.
-    pub verdict: AttemptOutcome,
-    /// What the member said of itself.
-    pub note: Option<ResponseMetadata>,
-    /// Its load report.
-    pub report: Option<Vec<f64>>,
-    /// The answer, if the outcome is [`AttemptOutcome::Ok`].
-    pub reply: Option<R>,
+    pub outcome: AttemptOutcome,
+    /// What the endpoint said of itself beside the response.
+    pub metadata: Option<ResponseMetadata>,
+    /// The endpoint's load report.
+    pub load_report: Option<Vec<f64>>,
+    /// The response, if the outcome is [`AttemptOutcome::Ok`].
+    pub response: Option<R>,
 }
 
-impl<R> Ended<R> {
-    /// An end without an answer or a note.
+impl<R> AttemptResult<R> {
+    /// A result with nothing but its outcome.
     #[must_use]
-    pub fn without_answer(verdict: AttemptOutcome) -> Self {
-        Self { verdict, note: None, report: None, reply: None }
+    pub fn without_response(outcome: AttemptOutcome) -> Self {
+        Self { outcome, metadata: None, load_report: None, response: None }
     }
 }
 
-/// A request as a client's side hands it in.
+/// A request as the client side hands it in.
 #[derive(Debug)]
-pub struct Asked<Q> {
+pub struct ClientRequest<Q> {
     /// Its class.
     pub class: ClassId,
-    /// Its session, in classes that have them.
+    /// Its session, in classes that have sessions.
     pub session: Option<SessionKey>,
     /// Its group.
     pub group: GroupId,
@@ -72,192 +98,261 @@
     pub deadline: Timestamp,
     /// When its session last committed, where clients say so.
     pub last_write: Option<Timestamp>,
-    /// What is sent to a member.
+    /// What is sent to an endpoint.
     pub query: Q,
 }
 
-/// Why a request ends without the module.
+/// Why a request ends before the router has ended it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    /// Its client has left.
-    ClientLeft,
-    /// Its client has cancelled it.
-    Cancelled,
-    /// The process ends before its deadline.
-    ProcessEnds,
+pub enum AbortReason {
+    /// Its client has disconnected.
+    ClientDisconnected,
+    /// Its client has asked to cancel it.
+    CancelRequested,
+    /// The process exits before the request's deadline.
+    Shutdown,
 }
 
-/// The final answer.
+/// The one final response to a request. `in_doubt_at` names the last endpoint that may have run it, if one may.
 #[derive(Debug)]
-pub enum Final<R> {
-    /// A member's answer.
+pub enum FinalResponse<R> {
+    /// An endpoint's response.
     Served(R),
-    /// Refused; trying again does no harm.
-    Refused(Option<TimeDelta>),
-    /// Failed; nothing is promised. Named is the last member that may have run it, if one may.
+    /// The request is rejected: it did not run, and a retry does no harm. With it goes when to retry, if that is told.
+    Rejected(Option<TimeDelta>),
+    /// The request has failed; nothing is promised.
     Failed {
-        /// The member.
-        at: Option<EndpointId>,
+        /// Where it may have run.
+        in_doubt_at: Option<EndpointId>,
     },
-    /// Ended at its client's wish. Named is the last member that may have run it, if one may.
+    /// The client has cancelled the request.
     Cancelled {
-        /// The member.
-        at: Option<EndpointId>,
+        /// Where it may have run.
+        in_doubt_at: Option<EndpointId>,
     },
-    /// The client has closed its connection, or its side of it. Named is the last member that may have run it, if one may.
-    Gone {
-        /// The member.
-        at: Option<EndpointId>,
+    /// The client has closed its connection, or its side of it.
+    ClientDisconnected {
+        /// Where it may have run.
+        in_doubt_at: Option<EndpointId>,
     },
 }
 
-enum Turn<R> {
-    Ended(Ended<R>),
-    Ordered(Order),
-    Cut(Cut),
+/// What ends a wait for the router, or for an attempt, from outside.
+enum Interruption {
+    Command(RequestCommand),
+    Aborted(AbortReason),
 }
 
-/// Serves one request.
-pub async fn serve<C: Carrier>(
-    driver: &Rc<Driver>,
-    carrier: &C,
-    asked: &Asked<C::Query>,
-    cut: impl Future<Output = Cut>,
-) -> Final<C::Reply> {
-    let mut cut = pin!(cut);
-    let mut sends = 0;
-    let mut may_have_run = None;
+/// What ends the wait for an attempt.
+enum AttemptEvent<R> {
+    Completed(AttemptResult<R>),
+    Interrupted(Interruption),
+}
 
-    // Taken: the module is asked what to do.
-    let ticket = driver.take(|id, now| Request {
-        id,
-        class: asked.class,
-        tenant: None,
-        session: asked.session,
-        time_remaining: asked.deadline - now,
-        group: asked.group,
-        since_last_write: asked.last_write.map(|at| now - at),
-        expected_work: None,
-    });
+/// Serves one request: hands it to the router, and makes the attempts that the router commands, until the router or
+/// `aborted` ends it.
+pub async fn serve<T: AttemptTransport>(
+    router: &Rc<RouterHandle>,
+    transport: &T,
+    request: &ClientRequest<T::Query>,
+    aborted: impl Future<Output = AbortReason>,
+) -> FinalResponse<T::Response> {
+    let mut aborted = pin!(aborted);
+    let mut active = ActiveRequest::start(router, request);
     loop {
-        // It orders an attempt or the final answer, or lets the request wait.
-        let order = async { Turn::<C::Reply>::Ordered(ticket.order().await) };
-        let left = async { Turn::Cut(cut.as_mut().await) };
-        let (member, wait) = match or(order, left).await {
-            Turn::Ordered(Order::Send { member, wait }) => (member, wait),
-            Turn::Ordered(Order::Refuse { retry_after }) => return refused(driver, retry_after),
-            Turn::Ordered(Order::Fail) => return failed(driver, may_have_run),
-            Turn::Ordered(Order::Cancel) | Turn::Ended(_) => continue,
-            Turn::Cut(why) => {
-                driver.feed(Event::RequestAbandoned(ticket.id()));
-                return end_early(driver, why, may_have_run);
+        // Commands come first: what the router has decided holds.
+        let command = async { Interruption::Command(active.handle.next_command().await) };
+        let abort = async { Interruption::Aborted(aborted.as_mut().await) };
+        let (endpoint, timeout) = match or(command, abort).await {
+            Interruption::Command(RequestCommand::Send { endpoint, timeout }) => (endpoint, timeout),
+            Interruption::Command(RequestCommand::Reject { retry_after }) => {
+                return reject(router, retry_after);
+            }
+            Interruption::Command(RequestCommand::Fail) => return active.fail(),
+            // Its attempt has ended by itself.
+            Interruption::Command(RequestCommand::CancelAttempt) => continue,
+            Interruption::Aborted(reason) => {
+                active.report_abandoned();
+                return active.abort(reason);
             }
         };
+        let last = active.attempt(transport, &request.query, endpoint, timeout, aborted.as_mut()).await;
+        if let Some(response) = last {
+            return response;
+        }
+    }
+}
 
-        driver.counters.sent.add();
-        let sent = driver.clock.now();
-        let still_eligible = || driver.still_eligible(ticket.id(), &member);
-        let sending = Sending { still_eligible: &still_eligible, sent: Cell::new(false) };
-        let turn = {
-            let attempt = carrier.attempt(&member, &asked.query, duration(wait), &sending);
-            attend(attempt, ticket.order(), cut.as_mut(), &sending.sent).await
-        };
+/// A request that the router knows, and that has no final response yet.
+struct ActiveRequest<'a> {
+    router: &'a RouterHandle,
+    handle: RequestHandle,
+    /// How many attempts have ended.
+    attempts: u32,
+    /// The last endpoint that may have run it.
+    in_doubt_at: Option<EndpointId>,
+}
+
+impl<'a> ActiveRequest<'a> {
+    fn start<Q>(router: &'a Rc<RouterHandle>, request: &ClientRequest<Q>) -> Self {
+        let handle = router.start_request(|id, now| Request {
+            id,
+            class: request.class,
+            tenant: None,
+            session: request.session,
+            time_remaining: request.deadline - now,
+            group: request.group,
+            since_last_write: request.last_write.map(|at| now - at),
+            expected_work: None,
+        });
+        Self { router, handle, attempts: 0, in_doubt_at: None }
+    }
 
-        // The attempt is over, with its connection if it was given up; only now is the module told. What was given
-        // up before all of it was written never ran.
-        let given_up = if sending.sent.get() { AttemptOutcome::Cancelled } else { AttemptOutcome::NotSent };
-        let (ended, after) = match turn {
-            Turn::Ended(ended) => (ended, None),
-            Turn::Ordered(order) => (Ended::without_answer(given_up), Some(Ok(order))),
-            Turn::Cut(why) => (Ended::without_answer(given_up), Some(Err(why))),
+    /// Makes one attempt and reports its end to the router. Gives the final response, if the request ends with it.
+    async fn attempt<T: AttemptTransport>(
+        &mut self,
+        transport: &T,
+        query: &T::Query,
+        endpoint: EndpointId,
+        timeout: TimeDelta,
+        aborted: Pin<&mut impl Future<Output = AbortReason>>,
+    ) -> Option<FinalResponse<T::Response>> {
+        self.router.counters().attempts.increment();
+        let started = self.router.now();
+        let still_eligible = || self.router.still_eligible(self.handle.id(), &endpoint);
+        let context = AttemptContext::new(&still_eligible);
+        // The attempt is over, with its connection if it was given up, before the router is told.
+        let event = {
+            let attempt = transport.attempt(&endpoint, query, to_duration(timeout), &context);
+            wait_for_attempt(attempt, self.handle.next_command(), aborted, &context).await
+        };
+        let (result, interruption) = match event {
+            AttemptEvent::Completed(result) => (result, None),
+            AttemptEvent::Interrupted(interruption) => {
+                // What was given up before all of it was written never ran.
+                let sent = context.is_sent();
+                let outcome = if sent { AttemptOutcome::Cancelled } else { AttemptOutcome::NotSent };
+                (AttemptResult::without_response(outcome), Some(interruption))
+            }
         };
-        let Ended { verdict, note, report, reply } = ended;
-        if !verdict.never_ran() {
-            may_have_run = Some(member.clone());
+        let response = self.report_completed(endpoint, started, result, interruption.as_ref());
+        self.final_response(response, interruption)
+    }
+
+    /// Reports the end of an attempt to the router, after the end of the request if its client gave it up.
+    fn report_completed<R>(
+        &mut self,
+        endpoint: EndpointId,
+        started: Timestamp,
+        result: AttemptResult<R>,
+        interruption: Option<&Interruption>,
+    ) -> Option<R> {
+        let AttemptResult { outcome, metadata, load_report, response } = result;
+        if !outcome.never_ran() {
+            self.in_doubt_at = Some(endpoint.clone());
         }
-        if matches!(after, Some(Err(_))) {
-            driver.feed(Event::RequestAbandoned(ticket.id()));
+        if matches!(interruption, Some(Interruption::Aborted(_))) {
+            self.report_abandoned();
         }
-        driver.counters.outcome(verdict);
-        driver.feed(Event::AttemptCompleted(AttemptCompletion {
-            request: ticket.id(),
-            attempt: AttemptNumber(sends),
-            endpoint: member,
-            outcome: verdict,
-            metadata: note,
-            elapsed: driver.clock.now() - sent,
-            request_closed: reply.is_some() || !matches!(after, None | Some(Ok(Order::Cancel))),
-            load_report: report,
+        let request_open =
+            matches!(interruption, None | Some(Interruption::Command(RequestCommand::CancelAttempt)));
+        self.router.counters().record_outcome(outcome);
+        self.router.dispatch(Event::AttemptCompleted(AttemptCompletion {
+            request: self.handle.id(),
+            attempt: AttemptNumber(self.attempts),
+            endpoint,
+            outcome,
+            metadata,
+            elapsed: self.router.now() - started,
+            request_closed: response.is_some() || !request_open,
+            load_report,
         }));
-        sends += 1;
+        self.attempts += 1;
+        response
+    }
 
-        // The final answer, if this was it; else the module has been asked again.
-        match (reply, after) {
-            (Some(reply), _) => {
-                driver.counters.served.add();
-                return Final::Served(reply);
+    /// The final response after an attempt; `None` if the router has been asked again.
+    fn final_response<R>(
+        &self,
+        response: Option<R>,
+        interruption: Option<Interruption>,
+    ) -> Option<FinalResponse<R>> {
+        if let Some(response) = response {
+            self.router.counters().served.increment();
+            return Some(FinalResponse::Served(response));
+        }
+        match interruption? {
+            Interruption::Command(RequestCommand::Reject { retry_after }) => {
+                Some(reject(self.router, retry_after))
             }
-            (None, Some(Ok(Order::Refuse { retry_after }))) => return refused(driver, retry_after),
-            (None, Some(Ok(Order::Fail))) => return failed(driver, may_have_run),
-            (None, Some(Err(why))) => return end_early(driver, why, may_have_run),
-            (None, None | Some(Ok(_))) => {}
+            Interruption::Command(RequestCommand::Fail) => Some(self.fail()),
+            Interruption::Command(RequestCommand::Send { .. } | RequestCommand::CancelAttempt) => None,
+            Interruption::Aborted(reason) => Some(self.abort(reason)),
         }
     }
-}
 
-/// Waits for the end of an attempt, for an order of the module, or for what ends the request without it. Until the
-/// attempt is written the last goes first: nothing is begun for a client that has gone. Once it is written, an answer
-/// that is there goes before the module's recall, and both before the client's leaving.
-async fn attend<R>(
-    attempt: impl Future<Output = Ended<R>>,
-    order: impl Future<Output = Order>,
-    mut cut: Pin<&mut impl Future<Output = Cut>>,
-    sent: &Cell<bool>,
-) -> Turn<R> {
-    let (mut attempt, mut order) = (pin!(attempt), pin!(order));
-    poll_fn(|context| {
-        if !sent.get() {
-            if let Poll::Ready(why) = cut.as_mut().poll(context) {
-                return Poll::Ready(Turn::Cut(why));
+    fn report_abandoned(&self) {
+        self.router.dispatch(Event::RequestAbandoned(self.handle.id()));
+    }
+
+    fn fail<R>(&self) -> FinalResponse<R> {
+        self.router.counters().failed.increment();
+        FinalResponse::Failed { in_doubt_at: self.in_doubt_at.clone() }
+    }
+
+    /// The response to a request that was aborted. At the exit of the process a rejection is honest only for what
+    /// can't have run.
+    fn abort<R>(&self, reason: AbortReason) -> FinalResponse<R> {
+        let in_doubt_at = self.in_doubt_at.clone();
+        match reason {
+            AbortReason::ClientDisconnected => {
+                self.router.counters().client_disconnects.increment();
+                FinalResponse::ClientDisconnected { in_doubt_at }
             }
-            if let Poll::Ready(order) = order.as_mut().poll(context) {
-                return Poll::Ready(Turn::Ordered(order));
+            AbortReason::CancelRequested => {
+                self.router.counters().cancelled.increment();
+                FinalResponse::Cancelled { in_doubt_at }
             }
-            return attempt.as_mut().poll(context).map(Turn::Ended);
-        }
-        if let Poll::Ready(ended) = attempt.as_mut().poll(context) {
-            return Poll::Ready(Turn::Ended(ended));
-        }
-        if let Poll::Ready(order) = order.as_mut().poll(context) {
-            return Poll::Ready(Turn::Ordered(order));
+            AbortReason::Shutdown if in_doubt_at.is_some() => self.fail(),
+            AbortReason::Shutdown => reject(self.router, None),
         }
-        cut.as_mut().poll(context).map(Turn::Cut)
-    })
-    .await
-}
-
-fn refused<R>(driver: &Driver, retry_after: Option<TimeDelta>) -> Final<R> {
-    driver.counters.refused.add();
-    Final::Refused(retry_after)
+    }
 }
 
-fn failed<R>(driver: &Driver, at: Option<EndpointId>) -> Final<R> {
-    driver.counters.failed.add();
-    Final::Failed { at }
+fn reject<R>(router: &RouterHandle, retry_after: Option<TimeDelta>) -> FinalResponse<R> {
+    router.counters().rejected.increment();
+    FinalResponse::Rejected(retry_after)
 }
 
-/// At the end of the process a refusal is an honest answer only to what can't have run.
-fn end_early<R>(driver: &Driver, why: Cut, may_have_run: Option<EndpointId>) -> Final<R> {
-    match why {
-        Cut::ClientLeft => {
-            driver.counters.gone.add();
-            Final::Gone { at: may_have_run }
+/// Waits for the end of an attempt, for a command of the router, or for what aborts the request. Until the attempt is
+/// written it is polled last: nothing is begun for a client that has disconnected. Once it is written, a response that
+/// is there goes before the router's command, and both before the client's disconnect.
+async fn wait_for_attempt<R>(
+    attempt: impl Future<Output = AttemptResult<R>>,
+    command: impl Future<Output = RequestCommand>,
+    mut aborted: Pin<&mut impl Future<Output = AbortReason>>,
+    context: &AttemptContext<'_>,
+) -> AttemptEvent<R> {
+    let interrupted_by_command = |command| AttemptEvent::Interrupted(Interruption::Command(command));
+    let interrupted_by_abort = |reason| AttemptEvent::Interrupted(Interruption::Aborted(reason));
+    let (mut attempt, mut command) = (pin!(attempt), pin!(command));
+    poll_fn(|task| {
+        if !context.is_sent() {
+            if let Poll::Ready(reason) = aborted.as_mut().poll(task) {
+                return Poll::Ready(interrupted_by_abort(reason));
+            }
+            if let Poll::Ready(command) = command.as_mut().poll(task) {
+                return Poll::Ready(interrupted_by_command(command));
+            }
+            return attempt.as_mut().poll(task).map(AttemptEvent::Completed);
         }
-        Cut::Cancelled => {
-            driver.counters.cancelled.add();
-            Final::Cancelled { at: may_have_run }
+        if let Poll::Ready(result) = attempt.as_mut().poll(task) {
+            return Poll::Ready(AttemptEvent::Completed(result));
         }
-        Cut::ProcessEnds if may_have_run.is_some() => failed(driver, may_have_run),
-        Cut::ProcessEnds => refused(driver, None),
-    }
+        if let Poll::Ready(command) = command.as_mut().poll(task) {
+            return Poll::Ready(interrupted_by_command(command));
+        }
+        aborted.as_mut().poll(task).map(interrupted_by_abort)
+    })
+    .await
 }
--- a/crates/proxy/src/router_handle.rs
+++ b/crates/proxy/src/router_handle.rs
@@ -1,183 +1,203 @@
-//! The driver: it owns the module, feeds it what happens, and hands each action to whom it concerns: the
-//! request that is waiting for it, the prober, or the wake timer. It decides nothing.
+//! The router's handle: it passes events to the router, and each action that comes back to the task that carries it
+//! out: the request that waits for it, the health checker, or the timer. It decides nothing.
 
 use crate::clock::Clock;
 use crate::metrics::Counters;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use futures_lite::future::or;
-use pooler_routing::Router;
-use pooler_routing::*;
+use futures_lite::future::{or, yield_now};
+use pooler_routing::{Action, EndpointId, Event, Request, RequestId, Router, TimeDelta, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A wake later than this tells that the process stood still.
-const LATE: TimeDelta = TimeDelta::from_millis(5);
+/// A timer that fires later than this tells that the process stood still.
+const LATE_TIMER: TimeDelta = TimeDelta::from_millis(5);
 /// Long enough for one turn of the reactor.
-const A_TURN: Duration = Duration::from_millis(1);
+const REACTOR_TURN: Duration = Duration::from_millis(1);
 
-/// What the module wants done for a request.
+/// What the router wants done for a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum RequestCommand {
     /// Start an attempt.
     Send {
         /// Where to.
-        member: EndpointId,
-        /// How long to wait for its answer.
-        wait: TimeDelta,
+        endpoint: EndpointId,
+        /// How long to wait for its response.
+        timeout: TimeDelta,
     },
-    /// Answer that it is refused.
-    Refuse {
+    /// Respond that the request is rejected.
+    Reject {
         /// When the client should come back.
         retry_after: Option<TimeDelta>,
     },
-    /// Answer that it has failed.
+    /// Respond that the request has failed.
     Fail,
-    /// Stop waiting for an attempt.
-    Cancel,
+    /// Give up the attempt in flight.
+    CancelAttempt,
 }
 
-/// The module with its clock and mailboxes.
-pub struct Driver {
-    /// The clock that all of the module's times are on.
-    pub clock: Clock,
-    /// What is counted.
-    pub counters: Rc<Counters>,
+/// The router, with its clock and the channels to the tasks that carry out its actions.
+pub struct RouterHandle {
+    clock: Clock,
+    counters: Rc<Counters>,
     router: RefCell<Router>,
+    /// Kept between events for its capacity.
     actions: RefCell<Vec<Action>>,
-    mailboxes: RefCell<HashMap<RequestId, Sender<Order>>>,
-    last: Cell<u64>,
-    wakes: (Sender<Timestamp>, Receiver<Timestamp>),
-    probes: Sender<EndpointId>,
+    command_channels: RefCell<HashMap<RequestId, Sender<RequestCommand>>>,
+    last_request_id: Cell<u64>,
+    timer_sender: Sender<Timestamp>,
+    timer_receiver: Receiver<Timestamp>,
+    health_checks: Sender<EndpointId>,
 }
 
-impl Driver {
-    /// A driver of `router`; members to probe go to `probes`.
+impl RouterHandle {
+    /// A handle of `router`; endpoints to check go to `health_checks`.
     #[must_use]
-    pub fn new(router: Router, counters: Rc<Counters>, probes: Sender<EndpointId>) -> Self {
+    pub fn new(router: Router, counters: Rc<Counters>, health_checks: Sender<EndpointId>) -> Self {
+        let (timer_sender, timer_receiver) = async_channel::unbounded();
         Self {
             clock: Clock::start(),
             counters,
             router: RefCell::new(router),
             actions: RefCell::default(),
-            mailboxes: RefCell::default(),
-            last: Cell::new(0),
-            wakes: async_channel::unbounded(),
-            probes,
+            command_channels: RefCell::default(),
+            last_request_id: Cell::new(0),
+            timer_sender,
+            timer_receiver,
+            health_checks,
         }
     }
 
-    /// Tells the module what has happened and passes its actions on.
-    pub fn feed(&self, event: Event) {
+    /// The current time on the clock of all the router's timestamps.
+    #[must_use]
+    pub fn now(&self) -> Timestamp {
+        self.clock.now()
+    }
+
+    /// What is counted.
+    #[must_use]
+    pub fn counters(&self) -> &Rc<Counters> {
+        &self.counters
+    }
+
+    /// Passes an event to the router, and its actions on to the tasks that carry them out.
+    pub fn dispatch(&self, event: Event) {
         let mut actions = self.actions.take();
         self.router.borrow_mut().handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.pass_on(action);
+            self.forward(action);
         }
         self.actions.replace(actions);
     }
 
-    fn pass_on(&self, action: Action) {
+    fn forward(&self, action: Action) {
         match action {
-            Action::Send { request, endpoint: member, timeout } => {
-                self.order(request, Order::Send { member, wait: timeout });
+            Action::Send { request, endpoint, timeout } => {
+                self.command(request, RequestCommand::Send { endpoint, timeout });
+            }
+            Action::Reject { request, retry_after } => {
+                self.command(request, RequestCommand::Reject { retry_after });
             }
-            Action::Reject { request, retry_after } => self.order(request, Order::Refuse { retry_after }),
-            Action::Fail { request } => self.order(request, Order::Fail),
-            Action::Cancel { request, .. } => self.order(request, Order::Cancel),
-            // Both channels are unbounded, and their other ends live as long as the process.
-            Action::HealthCheck { endpoint } => drop(self.probes.try_send(endpoint)),
-            Action::SetTimer { at } => drop(self.wakes.0.try_send(at)),
-            // The list is always followed.
+            Action::Fail { request } => self.command(request, RequestCommand::Fail),
+            Action::Cancel { request, .. } => self.command(request, RequestCommand::CancelAttempt),
+            // Both channels are unbounded, and their receivers live as long as the process.
+            Action::HealthCheck { endpoint } => drop(self.health_checks.try_send(endpoint)),
+            Action::SetTimer { at } => drop(self.timer_sender.try_send(at)),
+            // Discovery is watched all the time.
             Action::Subscribe => {}
             Action::Log { line } => tracing::info!(target: "decisions", "{line}"),
         }
     }
 
-    /// A request that has ended already has no mailbox; an order for it is void.
-    fn order(&self, request: RequestId, order: Order) {
-        if let Some(mailbox) = self.mailboxes.borrow().get(&request) {
-            drop(mailbox.try_send(order));
+    /// Sends a command to a request. One that has ended has no channel any more: the command is void.
+    fn command(&self, request: RequestId, command: RequestCommand) {
+        if let Some(channel) = self.command_channels.borrow().get(&request) {
+            drop(channel.try_send(command));
         }
     }
 
-    /// Opens a mailbox under a new id, and tells the module of the request that `event` makes with it.
-    pub fn take(self: &Rc<Self>, event: impl FnOnce(RequestId, Timestamp) -> Request) -> Ticket {
-        let id = RequestId(self.last.get() + 1);
-        self.last.set(id.0);
-        let (sender, orders) = async_channel::unbounded();
-        self.mailboxes.borrow_mut().insert(id, sender);
-        self.counters.taken.add();
-        self.feed(Event::Request(event(id, self.clock.now())));
-        Ticket { driver: self.clone(), id, orders }
+    /// Gives a request a new id and a command channel, and passes the request that `describe` makes to the router.
+    pub fn start_request(
+        self: &Rc<Self>,
+        describe: impl FnOnce(RequestId, Timestamp) -> Request,
+    ) -> RequestHandle {
+        let id = RequestId(self.last_request_id.get() + 1);
+        self.last_request_id.set(id.0);
+        let (sender, commands) = async_channel::unbounded();
+        self.command_channels.borrow_mut().insert(id, sender);
+        self.counters.requests.increment();
+        self.dispatch(Event::Request(describe(id, self.clock.now())));
+        RequestHandle { router: self.clone(), id, commands }
     }
 
-    /// Whether the module would still have this attempt written.
-    pub fn still_eligible(&self, request: RequestId, member: &EndpointId) -> bool {
-        self.router.borrow().still_eligible(self.clock.now(), request, member)
+    /// Whether the router would still have this attempt written.
+    pub fn still_eligible(&self, request: RequestId, endpoint: &EndpointId) -> bool {
+        self.router.borrow().still_eligible(self.clock.now(), request, endpoint)
     }
 
-    /// Whether the module would send a member anything new.
-    pub fn accepts_new_work(&self, member: &EndpointId) -> bool {
-        self.router.borrow().accepts_new_work(member)
+    /// Whether the router would send an endpoint anything new.
+    pub fn accepts_new_work(&self, endpoint: &EndpointId) -> bool {
+        self.router.borrow().accepts_new_work(endpoint)
     }
 
-    /// Wakes the module when it asked for it. A later wish takes the place of an earlier one: the module
-    /// voices one only if it is sooner, or the earlier has passed.
-    pub async fn run_wakes(&self) {
-        let mut due: Option<Timestamp> = None;
+    /// Runs the router's timer, for ever. A newly set timer replaces the one before: the router sets one only if it is
+    /// sooner, or the earlier has fired.
+    pub async fn run_timer(&self) {
+        let mut timer: Option<Timestamp> = None;
         loop {
-            let next = async { self.wakes.1.recv().await.ok() };
-            let rings = async {
-                match due {
-                    Some(at) => {
-                        let _ = Timer::at(self.clock.instant(at)).await;
-                    }
+            let reset = async { self.timer_receiver.recv().await.ok() };
+            let fired = async {
+                match timer {
+                    Some(at) => drop(Timer::at(self.clock.instant(at)).await),
                     None => std::future::pending().await,
                 }
                 None
             };
-            let wanted = due;
-            due = or(next, rings).await;
-            if due.is_none() {
-                // Requests whose answers are readable by now get to read them before the module counts
-                // them as overdue. The tasks that the same turn of the reactor woke come first; and where
-                // this process itself stood still, the reactor gets another turn to find them.
-                if wanted.is_some_and(|at| self.clock.now() - at > LATE) {
-                    Timer::after(A_TURN).await;
-                }
-                futures_lite::future::yield_now().await;
-                self.feed(Event::TimerFired);
+            let next = or(reset, fired).await;
+            if next.is_none() {
+                self.fire_timer(timer).await;
             }
+            timer = next;
+        }
+    }
+
+    /// Passes a fired timer to the router, once the requests whose responses are readable by now got to read them: the
+    /// router would count them as overdue. The tasks that the same turn of the reactor woke come first; and where the
+    /// process itself stood still, the reactor gets another turn to find them.
+    async fn fire_timer(&self, timer: Option<Timestamp>) {
+        if timer.is_some_and(|at| self.clock.now() - at > LATE_TIMER) {
+            Timer::after(REACTOR_TURN).await;
         }
+        yield_now().await;
+        self.dispatch(Event::TimerFired);
     }
 }
 
-/// A request's side of its mailbox.
-pub struct Ticket {
-    driver: Rc<Driver>,
+/// A request's side of its command channel, which is closed when this is dropped.
+pub struct RequestHandle {
+    router: Rc<RouterHandle>,
     id: RequestId,
-    orders: Receiver<Order>,
+    commands: Receiver<RequestCommand>,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// The request's id.
     #[must_use]
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// The next order for the request.
-    pub async fn order(&self) -> Order {
-        // The driver drops the other end only with this ticket.
-        self.orders.recv().await.unwrap_or(Order::Fail)
+    /// Waits for the next command.
+    pub async fn next_command(&self) -> RequestCommand {
+        // The sender is dropped only with this handle.
+        self.commands.recv().await.unwrap_or(RequestCommand::Fail)
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.driver.mailboxes.borrow_mut().remove(&self.id);
+        self.router.command_channels.borrow_mut().remove(&self.id);
     }
 }
--- a/crates/proxy/src/server/pool.rs
+++ b/crates/proxy/src/server/pool.rs
@@ -1,12 +1,13 @@
 //! Connections to servers: opened when none is free, reused last in first out, within a budget.
 
 use crate::buffer::{ReadBuffer, write_all};
-use crate::config::HostSettings;
-use crate::discovery::endpoint_directory::Members;
+use crate::config::ProxySettings;
+use crate::discovery::endpoint_directory::EndpointDirectory;
 use crate::metrics::Counters;
 use crate::protocol::{self as pg, Code, Notes, Part, PgError};
-use crate::request::{Carrier, Ended, Sending};
-use crate::router_handle::Driver;
+use crate::request::{AttemptContext, AttemptResult, AttemptTransport};
+use crate::resource_exhaustion::is_resource_exhaustion;
+use crate::router_handle::RouterHandle;
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::or;
@@ -44,25 +45,25 @@
 
 /// A statement of a client, in the buffer that it was read into. Only the wait is rewritten for an attempt.
 #[derive(Debug)]
-pub struct Statement {
-    /// The buffer.
-    pub bytes: Vec<u8>,
+pub struct ClientStatement {
+    /// The buffer that it was read into.
+    pub buffer: Vec<u8>,
     /// The statement in it, with its zero byte.
-    pub whole: Range<usize>,
-    /// The digits of the wait in it.
-    pub wait: Range<usize>,
+    pub text: Range<usize>,
+    /// The digits of the timeout in it.
+    pub timeout_digits: Range<usize>,
 }
 
 /// A server's answer, in the buffer that it was read into.
 #[derive(Debug)]
-pub struct Reply {
+pub struct QueryResponse {
     bytes: Vec<u8>,
     pieces: Vec<Range<usize>>,
 }
 
-impl Reply {
+impl QueryResponse {
     /// The messages of the answer, from RowDescription to CommandComplete.
-    pub fn pieces(&self) -> impl Iterator<Item = &[u8]> {
+    pub fn messages(&self) -> impl Iterator<Item = &[u8]> {
         self.pieces.iter().map(|piece| &self.bytes[piece.clone()])
     }
 }
@@ -179,7 +180,7 @@
 impl From<io::Error> for Lost {
     /// What this machine ran out of says nothing of the member.
     fn from(error: io::Error) -> Self {
-        if shortage(&error) { Self::Short } else { Self::Broken }
+        if is_resource_exhaustion(&error) { Self::Short } else { Self::Broken }
     }
 }
 
@@ -189,27 +190,20 @@
     }
 }
 
-/// Whether an error tells that this machine is out of descriptors, memory or ports.
-#[must_use]
-pub fn shortage(error: &io::Error) -> bool {
-    use rustix::io::Errno;
-    let own = [Errno::MFILE, Errno::NFILE, Errno::NOMEM, Errno::NOBUFS, Errno::ADDRNOTAVAIL];
-    Errno::from_io_error(error).is_some_and(|errno| own.contains(&errno))
-}
-
 /// What a member is asked.
 #[derive(Clone, Copy)]
 enum Query<'q> {
     /// For its load report.
     Report,
     /// A client's statement.
-    Statement(&'q Statement, &'q Sending<'q>),
+    Statement(&'q ClientStatement, &'q AttemptContext<'q>),
 }
 
 impl Query<'_> {
     /// Writes it, so that it tells what is left of the wait when it is written.
     async fn write(self, stream: &Async<TcpStream>, left: Duration) -> io::Result<()> {
-        let Self::Statement(Statement { bytes, whole, wait }, _) = self else {
+        let Self::Statement(ClientStatement { buffer: bytes, text: whole, timeout_digits: wait }, _) = self
+        else {
             let mut query = Vec::with_capacity(32);
             pg::write::query(&mut query, "SHOW gauges");
             return write_all(stream, &[&query]).await;
@@ -237,10 +231,10 @@
 
 /// The connections to all servers.
 pub struct Pool {
-    driver: Rc<Driver>,
-    members: Rc<Members>,
+    router: Rc<RouterHandle>,
+    members: Rc<EndpointDirectory>,
     counters: Rc<Counters>,
-    host: HostSettings,
+    host: ProxySettings,
     budget: Rc<Budget>,
     idle: RefCell<HashMap<EndpointId, VecDeque<Connection>>>,
 }
@@ -248,10 +242,15 @@
 impl Pool {
     /// A pool of at most `most` connections.
     #[must_use]
-    pub fn new(driver: Rc<Driver>, members: Rc<Members>, host: HostSettings, most: usize) -> Self {
+    pub fn new(
+        router: Rc<RouterHandle>,
+        members: Rc<EndpointDirectory>,
+        host: ProxySettings,
+        most: usize,
+    ) -> Self {
         let budget = Rc::new(Budget { used: Cell::new(0), most, freed: Event::new() });
-        let counters = driver.counters.clone();
-        Self { driver, members, counters, host, budget, idle: RefCell::default() }
+        let counters = router.counters().clone();
+        Self { router, members, counters, host, budget, idle: RefCell::default() }
     }
 
     fn longest_idle(&self) -> Duration {
@@ -264,7 +263,7 @@
             Timer::after(Duration::from_millis(500)).await;
             let longest = self.longest_idle();
             self.idle.borrow_mut().retain(|member, connections| {
-                let address = self.members.address(member).filter(|_| self.driver.accepts_new_work(member));
+                let address = self.members.address(member).filter(|_| self.router.accepts_new_work(member));
                 connections.retain(|one| one.usable(address, longest));
                 !connections.is_empty()
             });
@@ -279,7 +278,7 @@
     }
 
     fn put_back(&self, member: &EndpointId, mut connection: Connection) {
-        if !connection.buffer.data().is_empty() || !self.driver.accepts_new_work(member) {
+        if !connection.buffer.data().is_empty() || !self.router.accepts_new_work(member) {
             return;
         }
         connection.buffer.rest();
@@ -306,7 +305,7 @@
     /// the own shortage must not look like the member's failure.
     async fn permit(&self) -> Permit {
         while self.budget.used.get() >= self.budget.most && !self.close_one_idle() {
-            self.counters.short.add();
+            self.counters.resource_waits.increment();
             let freed = self.budget.freed.listen();
             or(freed, async {
                 let _ = Timer::after(SHORT_PAUSE).await;
@@ -327,7 +326,7 @@
                     return Ok(connection);
                 }
                 // It has ended, fell silent, or brought what was nobody's: it is closed, with nothing sent on it.
-                self.counters.unsettled.add();
+                self.counters.failed_validations.increment();
                 if matches!(settled, Err(Lost::Silent)) {
                     break;
                 }
@@ -339,7 +338,7 @@
                 // The system is out of something though the budget is not: wait, and let an idle one go.
                 Err(Lost::Short) => {
                     stage.set(Stage::Waiting);
-                    self.counters.short.add();
+                    self.counters.resource_waits.increment();
                     self.close_one_idle();
                     Timer::after(SHORT_PAUSE).await;
                 }
@@ -350,13 +349,13 @@
 
     async fn dial(&self, member: &EndpointId, permit: Permit) -> Result<Connection, Lost> {
         let address = self.members.address(member).ok_or(Lost::Down)?;
-        self.counters.dials.add();
+        self.counters.server_connections_opened.increment();
         let stream = Async::<TcpStream>::connect(address).await.map_err(|error| match error.kind() {
             io::ErrorKind::ConnectionReset => Lost::Broken,
             io::ErrorKind::ConnectionRefused => Lost::Down,
             // Not begun, for a moment: neither says anything of the member.
             io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock => Lost::Short,
-            _ if shortage(&error) => Lost::Short,
+            _ if is_resource_exhaustion(&error) => Lost::Short,
             _ => Lost::Silent,
         })?;
         stream.get_ref().set_nodelay(true)?;
@@ -394,11 +393,11 @@
     ) -> Result<(Connection, Exchange), Lost> {
         let mut connection = self.connection(member, stage).await?;
         // The list may have changed while the connection was opened; nothing new goes to who drains or is gone.
-        if !self.driver.accepts_new_work(member) {
+        if !self.router.accepts_new_work(member) {
             return Err(Lost::Withdrawn);
         }
         // Nor does a read whose data there has grown too old by now.
-        if matches!(query, Query::Statement(_, sending) if !(sending.still_eligible)()) {
+        if matches!(query, Query::Statement(_, sending) if !sending.still_eligible()) {
             self.put_back(member, connection);
             return Err(Lost::Withdrawn);
         }
@@ -412,7 +411,7 @@
         query.write(&connection.stream, left).await?;
         stage.set(Stage::Sent);
         if let Query::Statement(_, sending) = query {
-            sending.sent.set(true);
+            sending.mark_sent();
         }
         let exchange = read_answer(&connection.stream, &mut connection.buffer).await?;
         Ok((connection, exchange))
@@ -464,25 +463,25 @@
     }
 }
 
-impl Carrier for Pool {
-    type Query = Statement;
-    type Reply = Reply;
+impl AttemptTransport for Pool {
+    type Query = ClientStatement;
+    type Response = QueryResponse;
 
     async fn attempt(
         &self,
         member: &EndpointId,
-        query: &Statement,
+        query: &ClientStatement,
         wait: Duration,
-        sending: &Sending<'_>,
-    ) -> Ended<Reply> {
+        sending: &AttemptContext<'_>,
+    ) -> AttemptResult<QueryResponse> {
         match self.within(wait, member, Query::Statement(query, sending)).await {
-            Err(verdict) => Ended::without_answer(verdict),
+            Err(verdict) => AttemptResult::without_response(verdict),
             Ok((mut connection, exchange)) => {
                 let Exchange { verdict, notes, pieces, size, ready, .. } = exchange;
                 let reply = (verdict == AttemptOutcome::Ok).then(|| {
                     let (bytes, at) = connection.buffer.detach(size);
                     let moved = |piece: Range<usize>| piece.start + at.start..piece.end + at.start;
-                    Reply { bytes, pieces: pieces.into_iter().map(moved).collect() }
+                    QueryResponse { bytes, pieces: pieces.into_iter().map(moved).collect() }
                 });
                 if reply.is_none() {
                     connection.buffer.consume(size);
@@ -490,7 +489,12 @@
                 if ready {
                     self.put_back(member, connection);
                 }
-                Ended { verdict, note: notes.note(), report: notes.report(&self.host.report), reply }
+                AttemptResult {
+                    outcome: verdict,
+                    metadata: notes.note(),
+                    load_report: notes.report(&self.host.report),
+                    response: reply,
+                }
             }
         }
     }
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -1,9 +1,11 @@
-//! What becomes of a request whose client leaves in the moment in which an attempt could be written.
+//! A request whose client disconnects in the moment in which an attempt could be written.
 
 use futures_lite::future::{block_on, poll_fn, poll_once};
 use pooler_proxy::metrics::Counters;
-use pooler_proxy::request::{Asked, Carrier, Cut, Ended, Final, Sending, serve};
-use pooler_proxy::router_handle::Driver;
+use pooler_proxy::request::{
+    AbortReason, AttemptContext, AttemptResult, AttemptTransport, ClientRequest, FinalResponse, serve,
+};
+use pooler_proxy::router_handle::RouterHandle;
 use pooler_routing::*;
 use std::cell::Cell;
 use std::pin::pin;
@@ -12,24 +14,30 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// A carrier whose connection comes up at the second look, and which writes at once then.
+/// A transport whose connection comes up at the second poll, and which writes at once then.
 #[derive(Default)]
-struct SecondLook {
-    looks: Cell<u32>,
+struct ConnectsAtSecondPoll {
+    polls: Cell<u32>,
     written: Cell<bool>,
 }
 
-impl Carrier for SecondLook {
+impl AttemptTransport for ConnectsAtSecondPoll {
     type Query = ();
-    type Reply = ();
+    type Response = ();
 
-    async fn attempt(&self, _: &EndpointId, _: &(), _: Duration, sending: &Sending<'_>) -> Ended<()> {
+    async fn attempt(
+        &self,
+        _: &EndpointId,
+        _: &(),
+        _: Duration,
+        context: &AttemptContext<'_>,
+    ) -> AttemptResult<()> {
         poll_fn(|_| {
-            self.looks.set(self.looks.get() + 1);
-            if self.looks.get() < 2 {
+            self.polls.set(self.polls.get() + 1);
+            if self.polls.get() < 2 {
                 return Poll::Pending;
             }
-            sending.sent.set(true);
+            context.mark_sent();
             self.written.set(true);
             Poll::Pending
         })
@@ -37,7 +45,7 @@
     }
 }
 
-fn driver() -> Rc<Driver> {
+fn router_with_one_endpoint() -> Rc<RouterHandle> {
     let class = RequestClass {
         name: "any".into(),
         idempotency: Idempotency::Idempotent,
@@ -48,9 +56,9 @@
         late_weight: 0.0,
     };
     let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
-    let (probes, _) = async_channel::unbounded();
-    let driver = Driver::new(Router::new(1, settings), Rc::new(Counters::default()), probes);
-    driver.feed(Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![EndpointEntry {
+    let (health_checks, _) = async_channel::unbounded();
+    let router = RouterHandle::new(Router::new(1, settings), Rc::new(Counters::default()), health_checks);
+    router.dispatch(Event::EndpointUpdate(EndpointUpdate::Snapshot(vec![EndpointEntry {
         endpoint: EndpointId(Arc::from("s-1")),
         group: GroupId(0),
         lifecycle: Lifecycle::Active,
@@ -58,29 +66,36 @@
         started_at: None,
         zone: String::new(),
     }])));
-    Rc::new(driver)
+    Rc::new(router)
 }
 
 #[test]
-fn nothing_is_written_once_the_client_is_known_to_have_left() {
+fn nothing_is_written_once_the_client_is_known_to_have_disconnected() {
     block_on(async {
-        let (driver, carrier, left) = (driver(), SecondLook::default(), Cell::new(false));
-        let asked = Asked {
+        let router = router_with_one_endpoint();
+        let (transport, disconnected) = (ConnectsAtSecondPoll::default(), Cell::new(false));
+        let request = ClientRequest {
             class: ClassId(0),
             session: None,
             group: GroupId(0),
-            deadline: driver.clock.now() + TimeDelta::from_millis(1_000),
+            deadline: router.now() + TimeDelta::from_millis(1_000),
             last_write: None,
             query: (),
         };
-        let cut = poll_fn(|_| if left.get() { Poll::Ready(Cut::ClientLeft) } else { Poll::Pending });
-        let mut serving = pin!(serve(&driver, &carrier, &asked, cut));
+        let aborted = poll_fn(|_| match disconnected.get() {
+            true => Poll::Ready(AbortReason::ClientDisconnected),
+            false => Poll::Pending,
+        });
+        let mut serving = pin!(serve(&router, &transport, &request, aborted));
         assert!(poll_once(serving.as_mut()).await.is_none());
-        assert_eq!(carrier.looks.get(), 1, "its connection is being opened");
-        // Both are there by the next look, as after the process was held up.
-        left.set(true);
-        let answer = poll_once(serving.as_mut()).await;
-        assert!(matches!(answer, Some(Final::Gone { at: None })), "{answer:?}");
-        assert!(!carrier.written.get(), "nothing is begun for who has gone");
+        assert_eq!(transport.polls.get(), 1, "its connection is being opened");
+        // Both are ready at the next poll, as after the process was held up.
+        disconnected.set(true);
+        let response = poll_once(serving.as_mut()).await;
+        assert!(
+            matches!(response, Some(FinalResponse::ClientDisconnected { in_doubt_at: None })),
+            "{response:?}"
+        );
+        assert!(!transport.written.get(), "nothing is begun for a client that has disconnected");
     });
 }
