--- a/crates/proxy/src/client/session.rs
+++ b/crates/proxy/src/client/session.rs
@@ -8,7 +8,7 @@
 use crate::protocol::write::{self, Severity};
 use crate::protocol::{self as pg, Asks, BackendKey, PgError, Startup};
 use crate::request::{AbortReason, ClientRequest, FinalResponse, serve};
-use crate::server::pool::{ClientStatement, QueryResponse};
+use crate::server::statement::{ClientStatement, QueryResponse};
 use async_io::{Async, Timer};
 use futures_lite::future::{or, yield_now};
 use pooler_routing::*;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -88,13 +88,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
     /// A connection that is not up after this has failed.
-    pub dial_timeout: Duration,
+    pub connect_timeout: Duration,
     /// Servers close connections idle for this.
-    pub keepalive: Duration,
+    pub server_idle_timeout: Duration,
     /// The longest deadline of any class.
     pub longest_deadline: Duration,
     /// What load reports hold, by name.
-    pub report: Vec<(String, LoadReportField)>,
+    pub load_report_fields: Vec<(String, LoadReportField)>,
     /// Discovery is one service for the whole fleet that has to be asked, not an agent of the pooler's own.
     pub shared_discovery: bool,
 }
@@ -200,10 +200,12 @@
         }
         let names = pairs.text("Report.Fields").unwrap_or("").split(',').filter(|name| !name.is_empty());
         Ok(Self {
-            dial_timeout: time("Limits.DialTimeout", 250.0)?,
-            keepalive: time("Limits.Keepalive", 30_000.0)?,
+            connect_timeout: time("Limits.DialTimeout", 250.0)?,
+            server_idle_timeout: time("Limits.Keepalive", 30_000.0)?,
             longest_deadline,
-            report: names.map(|name| (name.to_owned(), LoadReportField::from_name(name))).collect(),
+            load_report_fields: names
+                .map(|name| (name.to_owned(), LoadReportField::from_name(name)))
+                .collect(),
             shared_discovery: pairs.text("Discovery")? == "ask",
         })
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -138,7 +138,7 @@
         signals::listen(handler).map_err(RunError::Signals)?;
         let (a, b) = (router.clone(), pool.clone());
         executor.spawn(async move { a.run_timer().await }).detach();
-        executor.spawn(async move { b.run_upkeep().await }).detach();
+        executor.spawn(async move { b.run_idle_eviction().await }).detach();
         executor.spawn(health_checks::run(executor.clone(), router, pool, wanted)).detach();
         executor.spawn(watch::run(follower, config.known.generation, pauses)).detach();
         executor.spawn(accept::run(Rc::new(frontend), listener)).detach();
--- /dev/null
+++ b/crates/proxy/src/server/connection_limit.rs
@@ -0,0 +1,54 @@
+//! The limit on the number of connections to servers.
+
+use async_io::Timer;
+use event_listener::Event;
+use futures_lite::future::or;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Counts the connections that are open, and wakes tasks that wait for one to be closed.
+#[derive(Debug)]
+pub(super) struct ConnectionLimit {
+    open: Cell<usize>,
+    max: usize,
+    released: Event,
+}
+
+impl ConnectionLimit {
+    /// A limit of at most `max` connections, none of them open.
+    pub(super) fn new(max: usize) -> Self {
+        Self { open: Cell::new(0), max, released: Event::new() }
+    }
+
+    /// Whether as many connections are open as there may be.
+    pub(super) fn is_reached(&self) -> bool {
+        self.open.get() >= self.max
+    }
+
+    /// Counts one more connection, for as long as the permit lives.
+    pub(super) fn acquire(self: &Rc<Self>) -> ConnectionPermit {
+        self.open.set(self.open.get() + 1);
+        ConnectionPermit(self.clone())
+    }
+
+    /// Waits until a connection is closed, but no longer than `timeout`.
+    pub(super) async fn wait_for_release(&self, timeout: Duration) {
+        let released = self.released.listen();
+        let expired = async {
+            Timer::after(timeout).await;
+        };
+        or(released, expired).await;
+    }
+}
+
+/// The right to one connection.
+#[derive(Debug)]
+pub(super) struct ConnectionPermit(Rc<ConnectionLimit>);
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        self.0.open.set(self.0.open.get() - 1);
+        self.0.released.notify(1);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/server/exchange.rs
@@ -0,0 +1,166 @@
+//! One exchange with an endpoint: a connection, a query on it, and the response.
+
+use super::attempt::{AttemptError, AttemptStage};
+use super::connection::Connection;
+use super::pool::Pool;
+use super::response::{self, ServerResponse};
+use super::statement::{ClientStatement, QueryResponse};
+use crate::protocol as pg;
+use crate::request::{AttemptContext, AttemptResult, AttemptTransport};
+use async_io::Timer;
+use futures_lite::future::or;
+use pooler_routing::{AttemptOutcome, EndpointId};
+use std::cell::Cell;
+use std::io;
+use std::ops::Range;
+use std::time::{Duration, Instant};
+
+/// The query that a server answers with its load report.
+const LOAD_REPORT_QUERY: &str = "SHOW gauges";
+
+/// What an endpoint is asked.
+#[derive(Clone, Copy)]
+pub(super) enum Query<'a> {
+    /// Its load report.
+    LoadReport,
+    /// A client's statement.
+    Statement {
+        /// The statement.
+        statement: &'a ClientStatement,
+        /// What is asked before it is written, and told afterwards.
+        context: &'a AttemptContext<'a>,
+    },
+}
+
+impl Query<'_> {
+    /// Writes it; a statement tells the server how much is left of its timeout.
+    async fn write(self, connection: &Connection, timeout: Duration) -> io::Result<()> {
+        match self {
+            Self::LoadReport => {
+                let mut query = Vec::with_capacity(32);
+                pg::write::query(&mut query, LOAD_REPORT_QUERY);
+                connection.write(&[&query]).await
+            }
+            Self::Statement { statement, .. } => {
+                let timeout = timeout.as_millis().max(1).to_string();
+                let (before, after) = (statement.before_timeout(), statement.after_timeout());
+                let head = pg::write::query_head(before.len() + timeout.len() + after.len());
+                connection.write(&[&head, before, timeout.as_bytes(), after]).await
+            }
+        }
+    }
+
+    fn is_still_eligible(self) -> bool {
+        match self {
+            Self::LoadReport => true,
+            Self::Statement { context, .. } => context.still_eligible(),
+        }
+    }
+
+    fn mark_sent(self) {
+        if let Self::Statement { context, .. } = self {
+            context.mark_sent();
+        }
+    }
+}
+
+/// A response, and the connection whose buffer holds it.
+pub(super) struct Exchange {
+    /// The connection.
+    pub(super) connection: Connection,
+    /// The response.
+    pub(super) response: ServerResponse,
+}
+
+/// Sends one query and reads the response, within a timeout. The outcome tells how far an exchange without a response
+/// has come.
+///
+/// # Errors
+///
+/// The outcome, when there is no response.
+pub(super) async fn exchange(
+    pool: &Pool,
+    endpoint: &EndpointId,
+    query: Query<'_>,
+    timeout: Duration,
+) -> Result<Exchange, AttemptOutcome> {
+    let (stage, deadline) = (Cell::new(AttemptStage::Waiting), Instant::now() + timeout);
+    let exchanged = async {
+        let result = exchange_until(pool, endpoint, query, deadline, &stage).await;
+        result.map_err(|error| error.outcome(stage.get()))
+    };
+    let expired = async {
+        Timer::at(deadline).await;
+        Err(stage.get().timeout_outcome())
+    };
+    or(exchanged, expired).await
+}
+
+async fn exchange_until(
+    pool: &Pool,
+    endpoint: &EndpointId,
+    query: Query<'_>,
+    deadline: Instant,
+    stage: &Cell<AttemptStage>,
+) -> Result<Exchange, AttemptError> {
+    let mut connection = pool.acquire(endpoint, stage).await?;
+    // It may have begun to drain or been removed while the connection was opened.
+    if !pool.accepts_new_work(endpoint) {
+        return Err(AttemptError::EndpointWithdrawn);
+    }
+    // Its data may have grown too old for a read meanwhile.
+    if !query.is_still_eligible() {
+        pool.release(endpoint, connection);
+        return Err(AttemptError::NoLongerEligible);
+    }
+    // The process may have been held up.
+    let timeout = deadline.saturating_duration_since(Instant::now());
+    if timeout.is_zero() {
+        pool.release(endpoint, connection);
+        return Err(AttemptError::DeadlineExpired);
+    }
+    stage.set(AttemptStage::Writing);
+    query.write(&connection, timeout).await?;
+    stage.set(AttemptStage::Sent);
+    query.mark_sent();
+    let response = response::read(&mut connection).await?;
+    Ok(Exchange { connection, response })
+}
+
+impl AttemptTransport for Pool {
+    type Query = ClientStatement;
+    type Response = QueryResponse;
+
+    async fn attempt(
+        &self,
+        endpoint: &EndpointId,
+        statement: &ClientStatement,
+        timeout: Duration,
+        context: &AttemptContext<'_>,
+    ) -> AttemptResult<QueryResponse> {
+        let query = Query::Statement { statement, context };
+        let Exchange { mut connection, response } = match exchange(self, endpoint, query, timeout).await {
+            Ok(exchange) => exchange,
+            Err(outcome) => return AttemptResult::without_response(outcome),
+        };
+        let ServerResponse { outcome, notes, messages, size, ready_for_query, .. } = response;
+        let response = if outcome == AttemptOutcome::Ok {
+            Some(detach_response(&mut connection, &messages, size))
+        } else {
+            connection.consume(size);
+            None
+        };
+        if ready_for_query {
+            self.release(endpoint, connection);
+        }
+        let load_report = notes.report(self.load_report_fields());
+        AttemptResult { outcome, metadata: notes.note(), load_report, response }
+    }
+}
+
+/// Takes a response out of its connection, with the buffer that it stands in.
+fn detach_response(connection: &mut Connection, messages: &[Range<usize>], size: usize) -> QueryResponse {
+    let (buffer, detached) = connection.detach(size);
+    let moved = |message: &Range<usize>| message.start + detached.start..message.end + detached.start;
+    QueryResponse::new(buffer, messages.iter().map(moved).collect())
+}
--- a/crates/proxy/src/server/health_checks.rs
+++ b/crates/proxy/src/server/health_checks.rs
@@ -1,34 +1,52 @@
-//! Probes, as the module asks for them: each on its own, so that a silent member holds up no other.
+//! Health checks, as the router asks for them: each is a task of its own, so that a silent endpoint holds up no other.
 
+use super::exchange::{Exchange, Query, exchange};
+use super::pool::Pool;
+use crate::protocol as pg;
 use crate::router_handle::RouterHandle;
-use crate::server::pool::Pool;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
-use pooler_routing::{EndpointId, Event};
+use pooler_routing::{AttemptOutcome, EndpointId, Event};
 use std::rc::Rc;
+use std::time::Duration;
 
-/// Carries out the probes that are asked for. Runs as long as the module does.
+/// The timeout of a health check.
+const TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Carries out the health checks that are requested. Runs as long as the router does.
 pub async fn run(
     executor: Rc<LocalExecutor<'static>>,
     router: Rc<RouterHandle>,
     pool: Rc<Pool>,
-    wanted: Receiver<EndpointId>,
+    requested: Receiver<EndpointId>,
 ) {
-    while let Ok(member) = wanted.recv().await {
+    while let Ok(endpoint) = requested.recv().await {
         let (router, pool) = (router.clone(), pool.clone());
-        executor.spawn(async move { probe(&router, &pool, member).await }).detach();
+        executor.spawn(async move { check(&router, &pool, endpoint).await }).detach();
     }
 }
 
-async fn probe(router: &RouterHandle, pool: &Pool, member: EndpointId) {
-    let sent = router.now();
+async fn check(router: &RouterHandle, pool: &Pool, endpoint: EndpointId) {
+    let started = router.now();
     router.counters().health_checks.increment();
-    let (verdict, report) = pool.probe(&member).await;
-    let took = router.now() - sent;
-    router.dispatch(Event::HealthCheckCompleted {
-        endpoint: member,
-        outcome: verdict,
-        elapsed: took,
-        load_report: report,
-    });
+    let (outcome, load_report) = query_load_report(pool, &endpoint).await;
+    let elapsed = router.now() - started;
+    router.dispatch(Event::HealthCheckCompleted { endpoint, outcome, elapsed, load_report });
+}
+
+/// Asks an endpoint for its load report.
+async fn query_load_report(pool: &Pool, endpoint: &EndpointId) -> (AttemptOutcome, Option<Vec<f64>>) {
+    let Exchange { mut connection, response } =
+        match exchange(pool, endpoint, Query::LoadReport, TIMEOUT).await {
+            Ok(exchange) => exchange,
+            Err(outcome) => return (outcome, None),
+        };
+    let value = response.value.and_then(|range| connection.unread().get(range));
+    let text = value.and_then(|value| std::str::from_utf8(value).ok());
+    let load_report = text.and_then(|text| pg::report(text, pool.load_report_fields()));
+    if response.ready_for_query {
+        connection.consume(response.size);
+        pool.release(endpoint, connection);
+    }
+    (response.outcome, load_report)
 }
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -1,4 +1,11 @@
 //! The server side: connections to endpoints, the exchanges on them, and health checks.
 
+mod attempt;
+mod connection;
+mod connection_limit;
+mod exchange;
 pub mod health_checks;
 pub mod pool;
+mod response;
+mod sqlstate;
+pub mod statement;
--- a/crates/proxy/src/server/pool.rs
+++ b/crates/proxy/src/server/pool.rs
@@ -1,560 +1,205 @@
-//! Connections to servers: opened when none is free, reused last in first out, within a budget.
+//! The pool of connections to servers: kept per endpoint, opened when none is free, within a limit.
 
-use crate::buffer::{ReadBuffer, write_all};
+use super::attempt::{AttemptError, AttemptStage};
+use super::connection::Connection;
+use super::connection_limit::{ConnectionLimit, ConnectionPermit};
 use crate::config::ProxySettings;
 use crate::discovery::endpoint_directory::EndpointDirectory;
 use crate::metrics::Counters;
-use crate::protocol::{self as pg, Code, Notes, Part, PgError};
-use crate::request::{AttemptContext, AttemptResult, AttemptTransport};
-use crate::resource_exhaustion::is_resource_exhaustion;
 use crate::router_handle::RouterHandle;
-use async_io::{Async, Timer};
-use event_listener::Event;
+use async_io::Timer;
 use futures_lite::future::or;
-use pooler_routing::*;
+use pooler_routing::{EndpointId, LoadReportField};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
-use std::io;
-use std::net::{SocketAddr, TcpStream};
-use std::ops::Range;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
-
-const USER: &str = "backend";
-const DATABASE: &str = "store";
-/// The part of the servers' idle limit after which an idle connection is dropped here: one that the server
-/// closes while a request is on its way would lose that request.
-const IDLE_PART: f64 = 2.0 / 3.0;
-/// A probe's time limit.
-const PROBE_WAIT: Duration = Duration::from_millis(250);
-/// How long what waits for room looks away, should nobody tell it.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
-
-/// More than this no answer takes up, notices and all.
-const LONGEST_ANSWER: usize = 2 * pg::LONGEST_VALUE;
-/// What a server sends too much comes just behind an answer, and must not be taken for the next: a connection
-/// rests for this long after one while there are others.
-const RESTED: Duration = Duration::from_millis(20);
-/// An empty query. A kept connection has to answer it, with nothing before that and nothing behind, before it
-/// carries a request: some are closed without a sign of it until the next write, which would be lost.
-const PING: &[u8] = b"Q\0\0\0\x05\0";
-/// After so many kept connections that did not, a new one is opened; and at once where one stays silent for so
-/// long, ten times what the farthest servers take: others may still answer.
-const MOST_PINGS: usize = 2;
-const PING_WAIT: Duration = Duration::from_millis(25);
-
-/// A statement of a client, in the buffer that it was read into. Only the wait is rewritten for an attempt.
-#[derive(Debug)]
-pub struct ClientStatement {
-    /// The buffer that it was read into.
-    pub buffer: Vec<u8>,
-    /// The statement in it, with its zero byte.
-    pub text: Range<usize>,
-    /// The digits of the timeout in it.
-    pub timeout_digits: Range<usize>,
-}
-
-/// A server's answer, in the buffer that it was read into.
-#[derive(Debug)]
-pub struct QueryResponse {
-    bytes: Vec<u8>,
-    pieces: Vec<Range<usize>>,
-}
-
-impl QueryResponse {
-    /// The messages of the answer, from RowDescription to CommandComplete.
-    pub fn messages(&self) -> impl Iterator<Item = &[u8]> {
-        self.pieces.iter().map(|piece| &self.bytes[piece.clone()])
-    }
-}
-
-/// How many connections there may be, and are.
-#[derive(Debug)]
-struct Budget {
-    used: Cell<usize>,
-    most: usize,
-    freed: Event,
-}
-
-/// The right to one connection.
-#[derive(Debug)]
-struct Permit(Rc<Budget>);
-
-impl Drop for Permit {
-    fn drop(&mut self) {
-        self.0.used.set(self.0.used.get() - 1);
-        self.0.freed.notify(1);
-    }
-}
-
-#[derive(Debug)]
-struct Connection {
-    // Declared first: the descriptor is closed before the budget learns of it.
-    stream: Async<TcpStream>,
-    address: SocketAddr,
-    buffer: ReadBuffer,
-    idle_since: Instant,
-    _permit: Permit,
-}
-
-impl Connection {
-    /// Whether an idle connection can carry a request: to where the member listens, open, and with nothing
-    /// unread.
-    fn usable(&self, address: Option<SocketAddr>, longest: Duration) -> bool {
-        let silent = match self.stream.get_ref().peek(&mut [0]) {
-            Err(error) => matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
-            Ok(_) => false,
-        };
-        silent
-            && address == Some(self.address)
-            && self.buffer.data().is_empty()
-            && self.idle_since.elapsed() < longest
-    }
-}
-
-/// What `work` gives within a time limit.
-async fn bounded<T>(longest: Duration, work: impl Future<Output = Result<T, Lost>>) -> Result<T, Lost> {
-    let limit = async {
-        Timer::after(longest).await;
-        Err(Lost::Silent)
-    };
-    or(work, limit).await
-}
-
-impl Connection {
-    /// Has an empty query answered, with nothing before the answer and nothing behind it.
-    async fn settle(&mut self) -> Result<(), Lost> {
-        write_all(&self.stream, &[PING]).await?;
-        let mut empty = false;
-        loop {
-            while let Some(message) = pg::server_message(self.buffer.data())? {
-                let (tag, size) = (message.tag, message.size);
-                let ready = tag == b'Z' && empty && pg::ready(message.body);
-                match tag {
-                    b'I' if !empty => empty = true,
-                    b'S' | b'N' if empty => {}
-                    _ if ready => {}
-                    _ => return Err(Lost::Broken),
-                }
-                self.buffer.consume(size);
-                if ready {
-                    return if self.buffer.data().is_empty() { Ok(()) } else { Err(Lost::Broken) };
-                }
-            }
-            if self.buffer.fill(&self.stream).await? == 0 {
-                return Err(Lost::Broken);
-            }
-        }
-    }
-}
-
-/// How far an attempt has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    /// Waiting for room in the own budget.
-    Waiting,
-    /// Opening a connection, or asking whether a kept one lives.
-    Dialing,
-    /// The statement's last byte is not written yet.
-    Writing,
-    /// All is written: it may run.
-    Sent,
-}
-
-/// Why no answer came.
-enum Lost {
-    /// No descriptor or port was to be had here.
-    Short,
-    /// Nobody listens.
-    Down,
-    /// Nobody answers.
-    Silent,
-    /// The connection broke: somebody was there.
-    Broken,
-    /// The member is not to be sent anything new.
-    Withdrawn,
-    /// The server said no before the query.
-    Said(Code),
-}
-
-impl From<io::Error> for Lost {
-    /// What this machine ran out of says nothing of the member.
-    fn from(error: io::Error) -> Self {
-        if is_resource_exhaustion(&error) { Self::Short } else { Self::Broken }
-    }
-}
-
-impl From<PgError> for Lost {
-    fn from(_: PgError) -> Self {
-        Self::Broken
-    }
-}
-
-/// What a member is asked.
-#[derive(Clone, Copy)]
-enum Query<'q> {
-    /// For its load report.
-    Report,
-    /// A client's statement.
-    Statement(&'q ClientStatement, &'q AttemptContext<'q>),
-}
-
-impl Query<'_> {
-    /// Writes it, so that it tells what is left of the wait when it is written.
-    async fn write(self, stream: &Async<TcpStream>, left: Duration) -> io::Result<()> {
-        let Self::Statement(ClientStatement { buffer: bytes, text: whole, timeout_digits: wait }, _) = self
-        else {
-            let mut query = Vec::with_capacity(32);
-            pg::write::query(&mut query, "SHOW gauges");
-            return write_all(stream, &[&query]).await;
-        };
-        let digits = left.as_millis().max(1).to_string();
-        let (before, after) = (&bytes[whole.start..wait.start], &bytes[wait.end..whole.end]);
-        let head = pg::write::query_head(before.len() + digits.len() + after.len());
-        write_all(stream, &[&head, before, digits.as_bytes(), after]).await
-    }
-}
-
-/// What was read up to ReadyForQuery, or until the server ended the connection.
-struct Exchange {
-    verdict: AttemptOutcome,
-    notes: Notes,
-    /// The answer's messages in the buffer.
-    pieces: Vec<Range<usize>>,
-    /// The row's value in the buffer.
-    value: Option<Range<usize>>,
-    /// The bytes of the exchange in the buffer.
-    size: usize,
-    /// The connection is at ReadyForQuery.
-    ready: bool,
-}
+use std::time::Duration;
+
+/// The fraction of the servers' idle timeout after which an idle connection is closed here: one that the server closes
+/// while a request is on its way would lose that request.
+const IDLE_FRACTION: f64 = 2.0 / 3.0;
+/// How often idle connections are looked through.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
+/// The pause of a task that waits for resources, should nothing wake it.
+const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// What a server sends too much comes just behind a response, and must not be taken for the next: a connection rests for
+/// this long after a response while there are others.
+const REST_AFTER_RESPONSE: Duration = Duration::from_millis(20);
+/// After so many kept connections that failed the validation a new one is opened.
+const MAX_VALIDATIONS: usize = 2;
+/// A new one is opened at once where a kept one stays silent for so long, ten times what the farthest servers take.
+const VALIDATION_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// The connections to all servers.
 pub struct Pool {
     router: Rc<RouterHandle>,
-    members: Rc<EndpointDirectory>,
+    directory: Rc<EndpointDirectory>,
     counters: Rc<Counters>,
-    host: ProxySettings,
-    budget: Rc<Budget>,
+    settings: ProxySettings,
+    limit: Rc<ConnectionLimit>,
+    /// The idle connections of each endpoint, the latest used last.
     idle: RefCell<HashMap<EndpointId, VecDeque<Connection>>>,
 }
 
 impl Pool {
-    /// A pool of at most `most` connections.
+    /// A pool of at most `max_connections`.
     #[must_use]
     pub fn new(
         router: Rc<RouterHandle>,
-        members: Rc<EndpointDirectory>,
-        host: ProxySettings,
-        most: usize,
+        directory: Rc<EndpointDirectory>,
+        settings: ProxySettings,
+        max_connections: usize,
     ) -> Self {
-        let budget = Rc::new(Budget { used: Cell::new(0), most, freed: Event::new() });
         let counters = router.counters().clone();
-        Self { router, members, counters, host, budget, idle: RefCell::default() }
+        let limit = Rc::new(ConnectionLimit::new(max_connections));
+        Self { router, directory, counters, settings, limit, idle: RefCell::default() }
     }
 
-    fn longest_idle(&self) -> Duration {
-        self.host.keepalive.mul_f64(IDLE_PART)
-    }
-
-    /// Closes idle connections that are of no more use. Runs for ever.
-    pub async fn run_upkeep(&self) {
+    /// Closes idle connections that are of no more use, for ever.
+    pub async fn run_idle_eviction(&self) {
         loop {
-            Timer::after(Duration::from_millis(500)).await;
-            let longest = self.longest_idle();
-            self.idle.borrow_mut().retain(|member, connections| {
-                let address = self.members.address(member).filter(|_| self.router.accepts_new_work(member));
-                connections.retain(|one| one.usable(address, longest));
-                !connections.is_empty()
-            });
+            Timer::after(EVICTION_INTERVAL).await;
+            self.evict_idle();
         }
     }
 
-    /// Closes the connection that has been idle longest, if there is one.
+    fn evict_idle(&self) {
+        let max_idle = self.max_idle();
+        self.idle.borrow_mut().retain(|endpoint, connections| {
+            let address = self.directory.address(endpoint).filter(|_| self.accepts_new_work(endpoint));
+            connections.retain(|connection| connection.is_reusable(address, max_idle));
+            !connections.is_empty()
+        });
+    }
+
+    /// Closes the connection that has been idle longest; false if there is none.
     pub fn close_one_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|of| !of.is_empty()).min_by_key(|of| of[0].idle_since);
-        oldest.is_some_and(|of| of.pop_front().is_some())
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].idle_since());
+        oldest.is_some_and(|connections| connections.pop_front().is_some())
     }
 
-    fn put_back(&self, member: &EndpointId, mut connection: Connection) {
-        if !connection.buffer.data().is_empty() || !self.router.accepts_new_work(member) {
-            return;
-        }
-        connection.buffer.rest();
-        connection.idle_since = Instant::now();
-        self.idle.borrow_mut().entry(member.clone()).or_default().push_back(connection);
+    /// Whether the router would send an endpoint anything new.
+    pub(super) fn accepts_new_work(&self, endpoint: &EndpointId) -> bool {
+        self.router.accepts_new_work(endpoint)
     }
 
-    /// A free connection; the latest used first, so that the others can grow old and go, but for those that
-    /// have only just brought an answer.
-    fn free(&self, member: &EndpointId) -> Option<Connection> {
-        let address = self.members.address(member);
-        let mut idle = self.idle.borrow_mut();
-        let connections = idle.get_mut(member)?;
-        loop {
-            let settled = connections.iter().rposition(|one| one.idle_since.elapsed() >= RESTED);
-            let connection = connections.remove(settled.or(connections.len().checked_sub(1))?)?;
-            if connection.usable(address, self.longest_idle()) {
-                return Some(connection);
-            }
-        }
+    /// The fields of the servers' load reports, by name.
+    pub(super) fn load_report_fields(&self) -> &[(String, LoadReportField)] {
+        &self.settings.load_report_fields
     }
 
-    /// Room for one more connection, made by closing an idle one if need be. It waits while there is none:
-    /// the own shortage must not look like the member's failure.
-    async fn permit(&self) -> Permit {
-        while self.budget.used.get() >= self.budget.most && !self.close_one_idle() {
-            self.counters.resource_waits.increment();
-            let freed = self.budget.freed.listen();
-            or(freed, async {
-                let _ = Timer::after(SHORT_PAUSE).await;
-            })
-            .await;
-        }
-        self.budget.used.set(self.budget.used.get() + 1);
-        Permit(self.budget.clone())
+    fn max_idle(&self) -> Duration {
+        self.settings.server_idle_timeout.mul_f64(IDLE_FRACTION)
     }
 
-    async fn connection(&self, member: &EndpointId, stage: &Cell<Stage>) -> Result<Connection, Lost> {
+    /// A connection to an endpoint: a kept one that passes the validation, or else a new one. It waits while this machine
+    /// is out of resources: that must not look like the endpoint's failure.
+    ///
+    /// # Errors
+    ///
+    /// When a new connection can't be opened.
+    pub(super) async fn acquire(
+        &self,
+        endpoint: &EndpointId,
+        stage: &Cell<AttemptStage>,
+    ) -> Result<Connection, AttemptError> {
         loop {
-            for _ in 0..MOST_PINGS {
-                let Some(mut connection) = self.free(member) else { break };
-                stage.set(Stage::Dialing);
-                let settled = bounded(PING_WAIT, connection.settle()).await;
-                if settled.is_ok() {
-                    return Ok(connection);
-                }
-                // It has ended, fell silent, or brought what was nobody's: it is closed, with nothing sent on it.
-                self.counters.failed_validations.increment();
-                if matches!(settled, Err(Lost::Silent)) {
-                    break;
-                }
+            if let Some(connection) = self.reuse(endpoint, stage).await {
+                return Ok(connection);
             }
-            stage.set(Stage::Waiting);
+            stage.set(AttemptStage::Waiting);
             let permit = self.permit().await;
-            stage.set(Stage::Dialing);
-            match bounded(self.host.dial_timeout, self.dial(member, permit)).await {
-                // The system is out of something though the budget is not: wait, and let an idle one go.
-                Err(Lost::Short) => {
-                    stage.set(Stage::Waiting);
+            stage.set(AttemptStage::Connecting);
+            match with_timeout(self.settings.connect_timeout, self.connect(endpoint, permit)).await {
+                // The system is out of something though the limit is not reached: let an idle one go.
+                Err(AttemptError::ResourceExhausted) => {
+                    stage.set(AttemptStage::Waiting);
                     self.counters.resource_waits.increment();
                     self.close_one_idle();
-                    Timer::after(SHORT_PAUSE).await;
+                    Timer::after(RESOURCE_RETRY_DELAY).await;
                 }
                 other => return other,
             }
         }
     }
 
-    async fn dial(&self, member: &EndpointId, permit: Permit) -> Result<Connection, Lost> {
-        let address = self.members.address(member).ok_or(Lost::Down)?;
-        self.counters.server_connections_opened.increment();
-        let stream = Async::<TcpStream>::connect(address).await.map_err(|error| match error.kind() {
-            io::ErrorKind::ConnectionReset => Lost::Broken,
-            io::ErrorKind::ConnectionRefused => Lost::Down,
-            // Not begun, for a moment: neither says anything of the member.
-            io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock => Lost::Short,
-            _ if is_resource_exhaustion(&error) => Lost::Short,
-            _ => Lost::Silent,
-        })?;
-        stream.get_ref().set_nodelay(true)?;
-        let mut hello = Vec::with_capacity(64);
-        pg::write::startup(&mut hello, USER, DATABASE);
-        write_all(&stream, &[&hello]).await?;
-        let mut buffer = ReadBuffer::default();
-        loop {
-            while let Some(message) = pg::server_message(buffer.data())? {
-                let (tag, size) = (message.tag, message.size);
-                match tag {
-                    b'E' => return Err(Lost::Said(pg::error_fields(message.body)?.code)),
-                    b'R' if message.body != [0; 4] => return Err(Lost::Broken),
-                    _ => {}
-                }
-                buffer.consume(size);
-                if tag == b'Z' {
-                    let idle_since = Instant::now();
-                    return Ok(Connection { stream, address, buffer, idle_since, _permit: permit });
-                }
-            }
-            if buffer.fill(&stream).await? == 0 {
-                return Err(Lost::Broken);
-            }
-        }
-    }
-
-    /// Sends one query, whose answer is waited for until then, and reads up to ReadyForQuery.
-    async fn exchange(
-        &self,
-        member: &EndpointId,
-        query: Query<'_>,
-        until: Instant,
-        stage: &Cell<Stage>,
-    ) -> Result<(Connection, Exchange), Lost> {
-        let mut connection = self.connection(member, stage).await?;
-        // The list may have changed while the connection was opened; nothing new goes to who drains or is gone.
-        if !self.router.accepts_new_work(member) {
-            return Err(Lost::Withdrawn);
-        }
-        // Nor does a read whose data there has grown too old by now.
-        if matches!(query, Query::Statement(_, sending) if !sending.still_eligible()) {
-            self.put_back(member, connection);
-            return Err(Lost::Withdrawn);
-        }
-        // Nor anything whose time is over: the process may have been held up.
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
-            self.put_back(member, connection);
-            return Err(Lost::Withdrawn);
-        }
-        stage.set(Stage::Writing);
-        query.write(&connection.stream, left).await?;
-        stage.set(Stage::Sent);
-        if let Query::Statement(_, sending) = query {
-            sending.mark_sent();
-        }
-        let exchange = read_answer(&connection.stream, &mut connection.buffer).await?;
-        Ok((connection, exchange))
-    }
-
-    /// [`Pool::exchange`] within a time limit, with its end told apart by how far it came.
-    async fn within(
-        &self,
-        wait: Duration,
-        member: &EndpointId,
-        query: Query<'_>,
-    ) -> Result<(Connection, Exchange), AttemptOutcome> {
-        let (stage, until) = (Cell::new(Stage::Waiting), Instant::now() + wait);
-        let answer = async { Some(self.exchange(member, query, until, &stage).await) };
-        let limit = async {
-            Timer::at(until).await;
-            None
-        };
-        match (or(answer, limit).await, stage.get()) {
-            (Some(Ok(done)), _) => Ok(done),
-            (Some(Err(Lost::Said(code))), _) => Err(connection_verdict(code)),
-            // Nothing was sent, and nothing is known of the member.
-            (Some(Err(Lost::Withdrawn)), _) | (None, Stage::Waiting) => Err(AttemptOutcome::NotSent),
-            (None, Stage::Sent) => Err(AttemptOutcome::Timeout),
-            // Silence for less than the dial's own limit: nothing was sent, and it may be this connection's alone.
-            (None, Stage::Dialing) => Err(AttemptOutcome::ConnectionLostBeforeSend),
-            (Some(Err(_)), Stage::Sent) => Err(AttemptOutcome::ConnectionReset),
-            (None, Stage::Writing) | (Some(Err(Lost::Down)), _) => Err(AttemptOutcome::ConnectionRefused),
-            (Some(Err(Lost::Silent)), _) => Err(AttemptOutcome::ConnectTimeout),
-            (Some(Err(_)), _) => Err(AttemptOutcome::ConnectionLostBeforeSend),
+    /// Keeps a connection that is at ReadyForQuery for further requests, unless it or its endpoint is of no more use.
+    pub(super) fn release(&self, endpoint: &EndpointId, mut connection: Connection) {
+        if connection.has_unread() || !self.accepts_new_work(endpoint) {
+            return;
         }
-    }
-
-    /// Asks a member for its load report.
-    pub async fn probe(&self, member: &EndpointId) -> (AttemptOutcome, Option<Vec<f64>>) {
-        match self.within(PROBE_WAIT, member, Query::Report).await {
-            Err(verdict) => (verdict, None),
-            Ok((mut connection, exchange)) => {
-                let value = exchange.value.and_then(|at| connection.buffer.data().get(at));
-                let text = value.and_then(|value| std::str::from_utf8(value).ok());
-                let report = text.and_then(|text| pg::report(text, &self.host.report));
-                if exchange.ready {
-                    connection.buffer.consume(exchange.size);
-                    self.put_back(member, connection);
+        connection.mark_idle();
+        self.idle.borrow_mut().entry(endpoint.clone()).or_default().push_back(connection);
+    }
+
+    /// A kept connection that passes the validation. Those that ended, fell silent, or brought what was nobody's are
+    /// closed, with nothing of a request sent on them.
+    async fn reuse(&self, endpoint: &EndpointId, stage: &Cell<AttemptStage>) -> Option<Connection> {
+        for _ in 0..MAX_VALIDATIONS {
+            let mut connection = self.take_idle(endpoint)?;
+            stage.set(AttemptStage::Connecting);
+            match with_timeout(VALIDATION_TIMEOUT, connection.validate()).await {
+                Ok(()) => return Some(connection),
+                Err(error) => {
+                    self.counters.failed_validations.increment();
+                    if error == AttemptError::TimedOut {
+                        return None;
+                    }
                 }
-                (exchange.verdict, report)
             }
         }
+        None
     }
-}
-
-impl AttemptTransport for Pool {
-    type Query = ClientStatement;
-    type Response = QueryResponse;
 
-    async fn attempt(
-        &self,
-        member: &EndpointId,
-        query: &ClientStatement,
-        wait: Duration,
-        sending: &AttemptContext<'_>,
-    ) -> AttemptResult<QueryResponse> {
-        match self.within(wait, member, Query::Statement(query, sending)).await {
-            Err(verdict) => AttemptResult::without_response(verdict),
-            Ok((mut connection, exchange)) => {
-                let Exchange { verdict, notes, pieces, size, ready, .. } = exchange;
-                let reply = (verdict == AttemptOutcome::Ok).then(|| {
-                    let (bytes, at) = connection.buffer.detach(size);
-                    let moved = |piece: Range<usize>| piece.start + at.start..piece.end + at.start;
-                    QueryResponse { bytes, pieces: pieces.into_iter().map(moved).collect() }
-                });
-                if reply.is_none() {
-                    connection.buffer.consume(size);
-                }
-                if ready {
-                    self.put_back(member, connection);
-                }
-                AttemptResult {
-                    outcome: verdict,
-                    metadata: notes.note(),
-                    load_report: notes.report(&self.host.report),
-                    response: reply,
-                }
+    /// An idle connection: the latest used, so that the others can grow old and be closed, but for those that have only
+    /// just brought a response.
+    fn take_idle(&self, endpoint: &EndpointId) -> Option<Connection> {
+        let address = self.directory.address(endpoint);
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(endpoint)?;
+        loop {
+            let last = connections.len().checked_sub(1)?;
+            let rested =
+                connections.iter().rposition(|connection| connection.idle_for() >= REST_AFTER_RESPONSE);
+            let connection = connections.remove(rested.unwrap_or(last))?;
+            if connection.is_reusable(address, self.max_idle()) {
+                return Some(connection);
             }
         }
     }
-}
 
-/// What a server's error in answer to a statement tells: only these codes prove that nothing ran.
-fn statement_verdict(code: Code) -> AttemptOutcome {
-    match &code.0 {
-        b"53300" => AttemptOutcome::Rejected,
-        b"25006" | b"72000" => AttemptOutcome::NotEligible,
-        _ => AttemptOutcome::Error,
+    /// The right to one more connection. While the limit is reached idle ones are closed, or it waits.
+    async fn permit(&self) -> ConnectionPermit {
+        while self.limit.is_reached() && !self.close_one_idle() {
+            self.counters.resource_waits.increment();
+            self.limit.wait_for_release(RESOURCE_RETRY_DELAY).await;
+        }
+        self.limit.acquire()
     }
-}
 
-/// What a server's error before any statement tells: nothing was sent, whatever the code.
-fn connection_verdict(code: Code) -> AttemptOutcome {
-    match &code.0 {
-        b"53300" | b"57P03" => AttemptOutcome::Rejected,
-        _ => AttemptOutcome::ConnectionLostBeforeSend,
+    async fn connect(
+        &self,
+        endpoint: &EndpointId,
+        permit: ConnectionPermit,
+    ) -> Result<Connection, AttemptError> {
+        let address = self.directory.address(endpoint).ok_or(AttemptError::ConnectionRefused)?;
+        self.counters.server_connections_opened.increment();
+        Connection::open(address, permit).await
     }
 }
 
-/// Reads one answer up to ReadyForQuery; what was whole before the connection ended counts. A spoilt one may
-/// have run, like one that never came.
-async fn read_answer(stream: &Async<TcpStream>, buffer: &mut ReadBuffer) -> Result<Exchange, Lost> {
-    let mut answer = pg::Answer::default();
-    let mut pieces: Vec<Range<usize>> = Vec::new();
-    let (mut value, mut at, mut ready) = (None, 0, false);
-    'reading: loop {
-        while let Some(message) = pg::server_message(&buffer.data()[at..])? {
-            let piece = at..at + message.size;
-            at = piece.end;
-            match answer.take(&message)? {
-                Part::Value(size) => {
-                    if message.tag == b'D' {
-                        value = Some(at - size..at);
-                    }
-                    match pieces.last_mut().filter(|last| last.end == piece.start) {
-                        Some(last) => last.end = piece.end,
-                        None => pieces.push(piece),
-                    }
-                }
-                Part::Aside => {}
-                Part::Fatal => break 'reading,
-                Part::Ready => {
-                    ready = true;
-                    break 'reading;
-                }
-            }
-        }
-        // More than any answer has means that the stream makes no sense; it is not kept in memory.
-        if buffer.data().len() > LONGEST_ANSWER {
-            return Err(Lost::Broken);
-        }
-        match buffer.fill(stream).await {
-            Ok(1..) => {}
-            Ok(0) | Err(_) if answer.whole() => break,
-            _ => return Err(Lost::Broken),
-        }
-    }
-    let verdict = answer.failed().map_or(AttemptOutcome::Ok, statement_verdict);
-    Ok(Exchange { verdict, notes: answer.into_notes(), pieces, value, size: at, ready })
+/// The result of `work`, unless it takes longer than `timeout`.
+async fn with_timeout<T>(
+    timeout: Duration,
+    work: impl Future<Output = Result<T, AttemptError>>,
+) -> Result<T, AttemptError> {
+    let expired = async {
+        Timer::after(timeout).await;
+        Err(AttemptError::TimedOut)
+    };
+    or(work, expired).await
 }
--- /dev/null
+++ b/crates/proxy/src/server/response.rs
@@ -0,0 +1,105 @@
+//! Reading a server's response to one query, up to ReadyForQuery.
+
+use super::attempt::AttemptError;
+use super::connection::Connection;
+use super::sqlstate::statement_error_outcome;
+use crate::protocol::{self as pg, Notes, Part, PgError};
+use pooler_routing::AttemptOutcome;
+use std::ops::Range;
+
+/// No response takes up more than this, notices and all.
+const MAX_RESPONSE_SIZE: usize = 2 * pg::LONGEST_VALUE;
+
+/// What was read up to ReadyForQuery, or until the server ended the connection. It stands in the connection's buffer
+/// still, whose ranges are given.
+pub(super) struct ServerResponse {
+    /// The outcome of the attempt.
+    pub(super) outcome: AttemptOutcome,
+    /// What the server said of itself beside the response.
+    pub(super) notes: Notes,
+    /// The messages of the response.
+    pub(super) messages: Vec<Range<usize>>,
+    /// The value of the row.
+    pub(super) value: Option<Range<usize>>,
+    /// The size of all that was read.
+    pub(super) size: usize,
+    /// Whether the connection is at ReadyForQuery, and so can carry another query.
+    pub(super) ready_for_query: bool,
+}
+
+/// Reads one response. What was complete before the connection ended counts; one that makes no sense may have run, like
+/// one that never came.
+///
+/// # Errors
+///
+/// When the connection ends before the response is complete, or what comes makes no sense.
+pub(super) async fn read(connection: &mut Connection) -> Result<ServerResponse, AttemptError> {
+    let mut reader = ResponseReader::default();
+    while !reader.read_buffered(connection.unread())? {
+        // More than any response has makes no sense; it is not kept in memory.
+        if connection.unread().len() > MAX_RESPONSE_SIZE {
+            return Err(AttemptError::ConnectionLost);
+        }
+        match connection.fill().await {
+            Ok(1..) => {}
+            Ok(0) | Err(_) if reader.parser.whole() => break,
+            _ => return Err(AttemptError::ConnectionLost),
+        }
+    }
+    Ok(reader.into_response())
+}
+
+/// The part of a response that has been read so far.
+#[derive(Default)]
+struct ResponseReader {
+    parser: pg::Answer,
+    messages: Vec<Range<usize>>,
+    value: Option<Range<usize>>,
+    /// The size of the messages that have been read.
+    position: usize,
+    ready_for_query: bool,
+}
+
+impl ResponseReader {
+    /// Reads the complete messages in `data` from the current position on; true at the end of the response.
+    fn read_buffered(&mut self, data: &[u8]) -> Result<bool, PgError> {
+        while let Some(message) = pg::server_message(&data[self.position..])? {
+            let range = self.position..self.position + message.size;
+            self.position = range.end;
+            match self.parser.take(&message)? {
+                Part::Value(size) => {
+                    if message.tag == b'D' {
+                        self.value = Some(range.end - size..range.end);
+                    }
+                    self.add_message(range);
+                }
+                Part::Aside => {}
+                Part::Fatal => return Ok(true),
+                Part::Ready => {
+                    self.ready_for_query = true;
+                    return Ok(true);
+                }
+            }
+        }
+        Ok(false)
+    }
+
+    /// Adds a message to those of the response; adjacent ones share a range.
+    fn add_message(&mut self, range: Range<usize>) {
+        match self.messages.last_mut().filter(|last| last.end == range.start) {
+            Some(last) => last.end = range.end,
+            None => self.messages.push(range),
+        }
+    }
+
+    fn into_response(self) -> ServerResponse {
+        ServerResponse {
+            outcome: self.parser.failed().map_or(AttemptOutcome::Ok, statement_error_outcome),
+            notes: self.parser.into_notes(),
+            messages: self.messages,
+            value: self.value,
+            size: self.position,
+            ready_for_query: self.ready_for_query,
+        }
+    }
+}
