--- /dev/null
+++ b/crates/proxy/src/assembly.rs
@@ -0,0 +1,175 @@
+//! Assembles a pooler: creates its parts from the configuration, connects them, and starts their tasks.
+
+use crate::client::accept::{self, Frontend};
+use crate::client::connection_slots::Slots;
+use crate::client::in_doubt_writes::Doubts;
+use crate::client::{read_ahead, session_keys};
+use crate::config::Config;
+use crate::discovery::address::DiscoveryAddress;
+use crate::discovery::backoff::Backoff;
+use crate::discovery::endpoint_directory::{EndpointDirectory, EndpointUpdates};
+use crate::discovery::watch::Watcher;
+use crate::lifecycle::reload::Reloader;
+use crate::lifecycle::shutdown::Shutdown;
+use crate::lifecycle::signals::SignalHandler;
+use crate::lifecycle::stages::ShutdownStages;
+use crate::metrics::{Counters, StatusReport};
+use crate::router_handle::RouterHandle;
+use crate::server::health_checks;
+use crate::server::pool::Pool;
+use crate::socket_budget::SocketBudget;
+use crate::startup_retry::retry_transient;
+use async_executor::LocalExecutor;
+use async_io::Async;
+use pooler_routing::{EndpointId, Router, Settings, TimeDelta};
+use std::cell::RefCell;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// The size of the buffer into which bytes are read that nobody wants.
+const DISCARD_BUFFER_SIZE: usize = 64 * 1024;
+/// When a client retries for which there was no slot: by then others have been answered.
+const NO_SLOT_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(250);
+
+/// Why a pooler can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// It can't listen for clients.
+    #[error("listening on {0}: {1}")]
+    Listen(SocketAddr, std::io::Error),
+    /// It can't handle signals.
+    #[error("signals: {0}")]
+    Signals(std::io::Error),
+}
+
+/// What is left to the pooler once its tasks are started.
+pub(crate) struct Assembly {
+    pub(crate) executor: Rc<LocalExecutor<'static>>,
+    pub(crate) stages: Rc<ShutdownStages>,
+    pub(crate) status_report: Rc<StatusReport>,
+    pub(crate) updates: EndpointUpdates,
+    pub(crate) listening: SocketAddr,
+}
+
+impl Assembly {
+    /// Creates the parts, listens for clients and signals, and starts all tasks.
+    pub(crate) fn start(config: &Config, config_file: PathBuf) -> Result<Self, StartError> {
+        let (parts, health_checks) = Parts::new(config);
+        let watcher = parts.watcher(config);
+        // The list last held comes first: a pooler serves from it while discovery is down.
+        watcher.apply(&config.known);
+        let listener = retry_transient(|| accept::listen(config.listen))
+            .map_err(|error| StartError::Listen(config.listen, error))?;
+        let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
+        parts.signal_handler(config, config_file).start().map_err(StartError::Signals)?;
+        parts.spawn_tasks(parts.frontend(config), health_checks, watcher, listener);
+        let Parts { executor, stages, status_report, updates, .. } = parts;
+        Ok(Self { executor, stages, status_report, updates, listening })
+    }
+}
+
+/// The parts that several tasks share.
+struct Parts {
+    executor: Rc<LocalExecutor<'static>>,
+    counters: Rc<Counters>,
+    status_report: Rc<StatusReport>,
+    stages: Rc<ShutdownStages>,
+    router: Rc<RouterHandle>,
+    pool: Rc<Pool>,
+    slots: Rc<Slots>,
+    in_doubt_writes: Rc<Doubts>,
+    discovery: Rc<DiscoveryAddress>,
+    updates: EndpointUpdates,
+}
+
+impl Parts {
+    /// The parts, and the receiver of the endpoints whose health is to be checked.
+    fn new(config: &Config) -> (Self, async_channel::Receiver<EndpointId>) {
+        let counters = Rc::new(Counters::default());
+        let (health_checks, requested_health_checks) = async_channel::unbounded();
+        let router = Router::new(config.seed, config.settings.clone());
+        let router = Rc::new(RouterHandle::new(router, counters.clone(), health_checks));
+        let directory = Rc::new(EndpointDirectory::default());
+        let budget = SocketBudget::new(config.sockets);
+        let pool = Pool::new(router.clone(), directory.clone(), config.proxy.clone(), budget.servers);
+        let slots = Slots::new(budget.clients, budget.rejected_clients, budget.active_clients);
+        let in_doubt_writes = Rc::new(Doubts::default());
+        let status_report = Rc::new(StatusReport::new(counters.clone()));
+        status_report.add_section(in_doubt_writes.clone());
+        let parts = Self {
+            executor: Rc::new(LocalExecutor::new()),
+            counters,
+            status_report,
+            stages: Rc::new(ShutdownStages::default()),
+            updates: EndpointUpdates::new(directory, router.clone()),
+            router,
+            pool: Rc::new(pool),
+            slots: Rc::new(slots),
+            in_doubt_writes,
+            discovery: Rc::new(DiscoveryAddress::new(config.discovery)),
+        };
+        (parts, requested_health_checks)
+    }
+
+    fn watcher(&self, config: &Config) -> Watcher {
+        let backoff = Backoff::new(config.seed, config.settings.router_count, config.proxy.shared_discovery);
+        Watcher::new(self.discovery.clone(), self.updates.clone(), self.counters.clone(), backoff)
+    }
+
+    fn signal_handler(&self, config: &Config, config_file: PathBuf) -> SignalHandler {
+        let slots = self.slots.clone();
+        SignalHandler {
+            executor: self.executor.clone(),
+            status_report: self.status_report.clone(),
+            reloader: Rc::new(Reloader::new(config_file, self.discovery.clone(), self.counters.clone())),
+            shutdown: Shutdown {
+                stages: self.stages.clone(),
+                connected_clients: Box::new(move || slots.taken()),
+                longest_deadline: config.proxy.longest_deadline,
+            },
+        }
+    }
+
+    fn frontend(&self, config: &Config) -> Frontend {
+        let classes = &config.settings.classes;
+        Frontend {
+            executor: self.executor.clone(),
+            router: self.router.clone(),
+            pool: self.pool.clone(),
+            counters: self.counters.clone(),
+            stages: self.stages.clone(),
+            slots: self.slots.clone(),
+            classes: classes.iter().map(|class| (class.name.clone(), class.operation)).collect(),
+            doubts: self.in_doubt_writes.clone(),
+            longest_deadline: config.proxy.longest_deadline,
+            open_ids: RefCell::default(),
+            sessions: session_keys::Sessions::default(),
+            full_retry_after: no_slot_retry_after(&config.settings),
+            ahead: Rc::new(read_ahead::Shared::new(DISCARD_BUFFER_SIZE)),
+        }
+    }
+
+    fn spawn_tasks(
+        &self,
+        frontend: Frontend,
+        health_checks: async_channel::Receiver<EndpointId>,
+        watcher: Watcher,
+        listener: Async<TcpListener>,
+    ) {
+        let Self { executor, router, pool, .. } = self;
+        let (timer, idle_eviction) = (router.clone(), pool.clone());
+        executor.spawn(async move { timer.run_timer().await }).detach();
+        executor.spawn(async move { idle_eviction.run_idle_eviction().await }).detach();
+        let health_checker =
+            health_checks::run(executor.clone(), router.clone(), pool.clone(), health_checks);
+        executor.spawn(health_checker).detach();
+        executor.spawn(watcher.run()).detach();
+        executor.spawn(accept::run(Rc::new(frontend), listener)).detach();
+    }
+}
+
+/// When a client retries for which there was no slot; `None` where clients are not told.
+fn no_slot_retry_after(settings: &Settings) -> Option<TimeDelta> {
+    settings.retry_after_allowed.then(|| NO_SLOT_RETRY_AFTER.min(settings.max_retry_after))
+}
--- /dev/null
+++ b/crates/proxy/src/config/proxy_settings.rs
@@ -0,0 +1,62 @@
+//! The settings that concern the proxy rather than the router.
+
+use crate::time_conversion::to_duration;
+use pooler_routing::LoadReportField;
+use pooler_routing::settings::{SettingsError, SettingsMap, duration_from_millis};
+use std::time::Duration;
+
+const DEFAULT_DEADLINE_MS: f64 = 1_000.0;
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
+const DEFAULT_SERVER_IDLE_TIMEOUT_MS: f64 = 30_000.0;
+/// The way in which discovery is asked where it is one service for the whole fleet.
+const SHARED_DISCOVERY: &str = "ask";
+
+/// The settings that concern the proxy rather than the router.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ProxySettings {
+    /// A connection that is not up after this has failed.
+    pub connect_timeout: Duration,
+    /// Servers close connections that are idle for this long.
+    pub server_idle_timeout: Duration,
+    /// The longest deadline of any class.
+    pub longest_deadline: Duration,
+    /// The fields of a load report, by name.
+    pub load_report_fields: Vec<(String, LoadReportField)>,
+    /// Discovery is one service for the whole fleet, rather than an agent of the pooler's own.
+    pub shared_discovery: bool,
+}
+
+impl ProxySettings {
+    /// Decodes the proxy's settings.
+    ///
+    /// # Errors
+    ///
+    /// When a value is missing or unreadable.
+    pub(super) fn decode(map: &SettingsMap) -> Result<Self, SettingsError> {
+        Ok(Self {
+            longest_deadline: longest_deadline(map)?,
+            connect_timeout: duration_or(map, "Limits.DialTimeout", DEFAULT_CONNECT_TIMEOUT_MS)?,
+            server_idle_timeout: duration_or(map, "Limits.Keepalive", DEFAULT_SERVER_IDLE_TIMEOUT_MS)?,
+            load_report_fields: load_report_fields(map),
+            shared_discovery: map.text("Discovery")? == SHARED_DISCOVERY,
+        })
+    }
+}
+
+fn duration_or(map: &SettingsMap, key: &str, default_ms: f64) -> Result<Duration, SettingsError> {
+    Ok(to_duration(duration_from_millis(map.amount_or(key, default_ms)?)))
+}
+
+fn longest_deadline(map: &SettingsMap) -> Result<Duration, SettingsError> {
+    let mut longest = Duration::ZERO;
+    for class in 0..map.amount("Lanes.count")? as usize {
+        let deadline = duration_or(map, &format!("Lanes.{class}.Deadline"), DEFAULT_DEADLINE_MS)?;
+        longest = longest.max(deadline);
+    }
+    Ok(longest)
+}
+
+fn load_report_fields(map: &SettingsMap) -> Vec<(String, LoadReportField)> {
+    let names = map.text("Report.Fields").unwrap_or("").split(',').filter(|name| !name.is_empty());
+    names.map(|name| (name.to_owned(), LoadReportField::from_name(name))).collect()
+}
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,5 +1,9 @@
-//! Discovery: watching the platform's endpoint list, and the directory of all endpoints by all sources.
+//! Discovery: watching the platform's endpoint list, and the directory of all endpoints from all sources.
 
+pub mod address;
+pub mod backoff;
 pub mod endpoint_directory;
+pub mod endpoint_list;
 pub mod http;
+pub mod json_stream;
 pub mod watch;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
-//! SIGHUP: the configuration is read again, and discovery followed where it says.
+//! Reload on SIGHUP: the configuration is read again, and discovery watched where it says.
 
 use crate::config::Config;
-use crate::discovery::watch::Source;
+use crate::discovery::address::DiscoveryAddress;
 use crate::metrics::Counters;
 use async_io::Timer;
 use std::cell::Cell;
@@ -9,55 +9,56 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a file that can't be read, or not whole, is read again: it may be being replaced, and what its discovery has to tell
-/// counts as told 4 s after the signal.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// For how long a file that can't be read, or is not complete, is read again: it may be being replaced, and what its
+/// discovery has to report counts as reported 4 s after the signal.
+const RETRY_WINDOW: Duration = Duration::from_secs(3);
 /// The pause before it is read again; each is twice the one before.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Reads the configuration again.
 pub(crate) struct Reloader {
-    file: PathBuf,
-    source: Rc<Source>,
+    config_file: PathBuf,
+    discovery: Rc<DiscoveryAddress>,
     counters: Rc<Counters>,
-    /// How many times it was asked to.
-    asked: Cell<u64>,
+    /// How many reloads were requested.
+    requested: Cell<u64>,
 }
 
 impl Reloader {
-    /// One that reads `file` and has `source` follow discovery where it says.
-    pub(crate) fn new(file: PathBuf, source: Rc<Source>, counters: Rc<Counters>) -> Self {
-        Self { file, source, counters, asked: Cell::new(0) }
+    /// One that reads `config_file`, and sets the address of `discovery`.
+    pub(crate) fn new(config_file: PathBuf, discovery: Rc<DiscoveryAddress>, counters: Rc<Counters>) -> Self {
+        Self { config_file, discovery, counters, requested: Cell::new(0) }
     }
 
-    /// Reads the configuration again and follows discovery where it says. All else in it holds from the next start;
-    /// the list that is held, the connections and the open requests stay as they are. A file that can't be used
-    /// changes nothing; one that may just be being replaced is read again for a while, or until the next signal.
+    /// Reads the configuration again and watches discovery where it says. All else in it takes effect at the next start;
+    /// the endpoints, the connections and the requests in flight stay as they are. A file that can't be used changes
+    /// nothing; one that may just be being replaced is read again for a while, or until the next signal.
     pub(crate) async fn reload(self: Rc<Self>) {
-        let (started, number) = (Instant::now(), self.asked.get() + 1);
-        self.asked.set(number);
-        let mut pause = FIRST_PAUSE;
-        let mut told = false;
-        while self.asked.get() == number {
-            match Config::load(&self.file) {
-                Ok(config) => return self.follow(&config),
+        let (started, reload) = (Instant::now(), self.requested.get() + 1);
+        self.requested.set(reload);
+        let mut delay = FIRST_RETRY_DELAY;
+        let mut reported = false;
+        while self.requested.get() == reload {
+            match Config::load(&self.config_file) {
+                Ok(config) => return self.apply(&config),
                 Err(error) => {
-                    if !std::mem::replace(&mut told, true) {
+                    if !reported {
                         tracing::warn!("configuration kept as it was: {error}");
+                        reported = true;
                     }
-                    if !error.may_pass() || started.elapsed() >= PATIENCE {
+                    if !error.is_transient() || started.elapsed() >= RETRY_WINDOW {
                         return;
                     }
                 }
             }
-            Timer::after(pause).await;
-            pause *= 2;
+            Timer::after(delay).await;
+            delay *= 2;
         }
     }
 
-    fn follow(&self, config: &Config) {
+    fn apply(&self, config: &Config) {
         self.counters.config_reloads.increment();
         tracing::info!("configuration read again, discovery at {:?}", config.discovery);
-        self.source.follow(config.discovery);
+        self.discovery.set(config.discovery);
     }
 }
--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM or SIGINT drains the pooler, SIGHUP reads the configuration again, SIGUSR1 prints the counters.
+//! Signals: SIGTERM and SIGINT shut the pooler down, SIGHUP reads the configuration again, SIGUSR1 logs the status report.
 
 use crate::lifecycle::reload::Reloader;
 use crate::lifecycle::shutdown::Shutdown;
@@ -16,114 +16,120 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How often the flags are looked at. The pipe tells at once, but a write to it from the handler can fail, and nobody
+/// How often the flags are checked. The signal pipe wakes at once, but a write to it from the handler can fail, and nobody
 /// would send the signal again.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause after an error of the pipe, which must not spin should it last.
-const ERROR_PAUSE: Duration = Duration::from_millis(1);
+const ERROR_DELAY: Duration = Duration::from_millis(1);
 
-/// What a signal asks for.
+/// What a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Print the counters.
-    Report,
+    /// Log the status report.
+    LogStatus,
     /// Read the configuration again.
     Reload,
-    /// Drain, and end.
-    End,
+    /// Shut down.
+    ShutDown,
 }
 
-/// What has been asked for by signals and not yet been taken. Only a signal can raise it.
+/// The commands that signals have requested and that have not been taken yet. Only a signal can set one.
 #[derive(Debug, Default)]
-pub struct Requests {
-    report: Arc<AtomicBool>,
+pub struct PendingCommands {
+    log_status: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
-    end: Arc<AtomicBool>,
+    shut_down: Arc<AtomicBool>,
 }
 
-impl Requests {
-    /// Requests that the process's signals raise from now on.
+impl PendingCommands {
+    /// Commands that the process's signals request from now on.
     ///
     /// # Errors
     ///
     /// When a handler can't be set.
     pub fn register() -> io::Result<Self> {
-        let requests = Self::default();
+        let pending = Self::default();
         let flags = [
-            (SIGUSR1, &requests.report),
-            (SIGHUP, &requests.reload),
-            (SIGTERM, &requests.end),
-            (SIGINT, &requests.end),
+            (SIGUSR1, &pending.log_status),
+            (SIGHUP, &pending.reload),
+            (SIGTERM, &pending.shut_down),
+            (SIGINT, &pending.shut_down),
         ];
         for (signal, flag) in flags {
             signal_hook::flag::register(signal, flag.clone())?;
         }
-        Ok(requests)
+        Ok(pending)
     }
 
-    /// Takes what has been asked for, each once; the end comes last.
+    /// Takes the commands that are pending, each once; the shutdown comes last.
     pub fn take(&self) -> impl Iterator<Item = Command> {
-        let flags =
-            [(&self.report, Command::Report), (&self.reload, Command::Reload), (&self.end, Command::End)];
+        let flags = [
+            (&self.log_status, Command::LogStatus),
+            (&self.reload, Command::Reload),
+            (&self.shut_down, Command::ShutDown),
+        ];
         flags.into_iter().filter_map(|(flag, command)| flag.swap(false, Ordering::SeqCst).then_some(command))
     }
 }
 
-/// What signals act on.
-pub(crate) struct Handler {
-    /// What carries the tasks.
+/// Carries out what signals request.
+pub(crate) struct SignalHandler {
+    /// Runs reloads and the shutdown.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// What is counted.
+    /// Logged on request.
     pub(crate) status_report: Rc<StatusReport>,
     /// Reads the configuration again.
     pub(crate) reloader: Rc<Reloader>,
-    /// Ends the pooler.
+    /// Shuts the pooler down.
     pub(crate) shutdown: Shutdown,
 }
 
-/// Handles signals until the pooler has drained.
-///
-/// # Errors
-///
-/// When signals can't be had.
-pub(crate) fn listen(handler: Handler) -> io::Result<()> {
-    // The flags come first: whatever the pipe tells is raised by then.
-    let requests = Requests::register()?;
-    let signals = retry_transient(|| Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1]))?;
-    let executor = handler.executor.clone();
-    executor.spawn(run(handler, requests, signals)).detach();
-    Ok(())
-}
+impl SignalHandler {
+    /// Handles signals from now on, in a task of the executor.
+    ///
+    /// # Errors
+    ///
+    /// When a handler can't be set.
+    pub(crate) fn start(self) -> io::Result<()> {
+        // The flags are registered first: they are set by the time that the pipe wakes.
+        let pending = PendingCommands::register()?;
+        let signals =
+            retry_transient(|| Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1]))?;
+        let executor = self.executor.clone();
+        executor.spawn(self.run(pending, signals)).detach();
+        Ok(())
+    }
 
-async fn run(handler: Handler, requests: Requests, mut signals: Signals) {
-    let Handler { executor, status_report, reloader, shutdown } = handler;
-    let mut shutdown = Some(shutdown);
-    loop {
-        for command in requests.take() {
-            match command {
-                Command::Report => status_report.log(),
-                Command::Reload => executor.spawn(reloader.clone().reload()).detach(),
-                // Once is enough.
-                Command::End => {
-                    if let Some(shutdown) = shutdown.take() {
-                        executor.spawn(shutdown.run()).detach();
+    async fn run(self, pending: PendingCommands, mut signals: Signals) {
+        let Self { executor, status_report, reloader, shutdown } = self;
+        let mut shutdown = Some(shutdown);
+        loop {
+            for command in pending.take() {
+                match command {
+                    Command::LogStatus => status_report.log(),
+                    Command::Reload => executor.spawn(reloader.clone().reload()).detach(),
+                    // Once is enough.
+                    Command::ShutDown => {
+                        if let Some(shutdown) = shutdown.take() {
+                            executor.spawn(shutdown.run()).detach();
+                        }
                     }
                 }
             }
+            wait_for_signal(&mut signals).await;
         }
-        wait(&mut signals).await;
     }
 }
 
-/// Waits until a signal may have come.
-async fn wait(signals: &mut Signals) {
-    let told = async {
+/// Waits until a signal may have arrived.
+async fn wait_for_signal(signals: &mut Signals) {
+    let arrived = async {
         if !matches!(signals.next().await, Some(Ok(_))) {
-            Timer::after(ERROR_PAUSE).await;
+            Timer::after(ERROR_DELAY).await;
         }
     };
-    let look = async {
-        Timer::after(LOOK).await;
+    let interval = async {
+        Timer::after(CHECK_INTERVAL).await;
     };
-    or(told, look).await;
+    or(arrived, interval).await;
 }
