--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,12 +1,17 @@
-//! The decisions on the simulator's wire: standard input to standard output.
+//! The routing decisions on the simulator's wire: standard input to standard output.
+
+mod adapter;
+mod decode;
+mod encode;
+mod error;
+mod fields;
+mod instance;
 
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
 
-mod wire;
-
 fn main() -> ExitCode {
-    match wire::run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
+    match adapter::run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
