--- /dev/null
+++ b/crates/routing/src/membership/table.rs
@@ -0,0 +1,208 @@
+//! The membership table: the claims of all sources, and the endpoints that they resolve to.
+
+use super::claim::{ClaimDecision, EndpointClaim, HeldClaim, SourceId};
+use super::resolution::{ClaimsBySource, ResolvedEndpoint};
+use super::self_preservation::{SelfPreservation, SnapshotCoverage, SnapshotGuard, SuspectedLoss};
+use super::watch::{MergeResult, WatchEvent};
+use crate::{EndpointId, Lifecycle, TimeDelta, Timestamp};
+use std::collections::btree_map::Entry;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The most endpoints that are held. A registry whose deltas name ever new ones fills the memory no further; claims on
+/// endpoints that are known already are merged as before.
+pub const MAX_ENDPOINTS: usize = 100_000;
+
+/// What is held of one endpoint.
+#[derive(Clone, Debug, Default)]
+struct EndpointRecord {
+    claims: ClaimsBySource,
+    resolved: ResolvedEndpoint,
+    removed_at: Option<Timestamp>,
+}
+
+/// The endpoints as resolved from all sources.
+#[derive(Debug)]
+pub struct Membership {
+    guards: BTreeMap<SourceId, SnapshotGuard>,
+    endpoints: BTreeMap<EndpointId, EndpointRecord>,
+    /// The removed endpoints by the time of their removal, so that evicting costs only what it evicts.
+    removed: BTreeSet<(Timestamp, EndpointId)>,
+    removed_retention: TimeDelta,
+    max_removed: usize,
+}
+
+/// A merge in progress: its time, its source, and what it has changed so far.
+struct Merge<'r> {
+    now: Timestamp,
+    source: SourceId,
+    result: &'r mut MergeResult,
+}
+
+impl Membership {
+    /// An empty table. Removed endpoints are remembered for `removed_retention`, and no more than `max_removed` of
+    /// them; a stale claim that arrives later is taken for a new endpoint.
+    #[must_use]
+    pub fn new(removed_retention: TimeDelta, max_removed: usize) -> Self {
+        Self {
+            guards: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            removed: BTreeSet::new(),
+            removed_retention,
+            max_removed,
+        }
+    }
+
+    /// Sets when a source's snapshots are suspected. Without it all of them are believed.
+    pub fn set_self_preservation(&mut self, source: SourceId, limits: SelfPreservation) {
+        self.guards.insert(source, SnapshotGuard::new(limits));
+    }
+
+    /// An endpoint that is known. Removed ones are included for as long as they are remembered.
+    #[must_use]
+    pub fn get(&self, endpoint: &EndpointId) -> Option<&ResolvedEndpoint> {
+        self.endpoints.get(endpoint).map(|record| &record.resolved)
+    }
+
+    /// All known endpoints, in the order of their ids.
+    pub fn iter(&self) -> impl Iterator<Item = (&EndpointId, &ResolvedEndpoint)> {
+        self.endpoints.iter().map(|(id, record)| (id, &record.resolved))
+    }
+
+    /// Merges what a source reports. The cost grows with the endpoints that the event names, and for a snapshot with
+    /// those that are known.
+    pub fn merge(&mut self, now: Timestamp, source: SourceId, event: WatchEvent) -> MergeResult {
+        let mut result = MergeResult::default();
+        let mut merge = Merge { now, source, result: &mut result };
+        match event {
+            WatchEvent::Delta(claims) => {
+                for claim in claims {
+                    self.merge_claim(&mut merge, claim, None);
+                }
+            }
+            WatchEvent::Snapshot { claims, version } => self.merge_snapshot(&mut merge, claims, version),
+        }
+        self.evict_removed(now, &mut result);
+        result
+    }
+
+    fn merge_snapshot(&mut self, merge: &mut Merge<'_>, claims: Vec<EndpointClaim>, version: i64) {
+        // Compared before the claims are merged: a drain that the snapshot names must not count as a loss.
+        let coverage = self.coverage(merge.source, &claims, version);
+        let guard = self.guards.get_mut(&merge.source);
+        let suspected = guard.is_some_and(|guard| guard.suspects(merge.now, &coverage));
+        for claim in claims {
+            self.merge_claim(merge, claim, Some(version));
+        }
+        if suspected {
+            merge.result.suspected_loss =
+                Some(SuspectedLoss { missing: coverage.missing_active, active: coverage.active });
+            return;
+        }
+        for endpoint in coverage.missing {
+            self.remove_absent(merge, endpoint, version);
+        }
+    }
+
+    /// Compares the snapshot of this version with the endpoints that its source reported before.
+    fn coverage(&self, source: SourceId, claims: &[EndpointClaim], version: i64) -> SnapshotCoverage {
+        let named: BTreeSet<&EndpointId> = claims.iter().map(|claim| &claim.endpoint).collect();
+        let mut coverage = SnapshotCoverage { is_empty: named.is_empty(), ..SnapshotCoverage::default() };
+        for (id, record) in &self.endpoints {
+            let Some(held) = record.claims.get(source) else { continue };
+            if held.claim.lifecycle == Lifecycle::Removed {
+                continue;
+            }
+            let active = usize::from(held.claim.lifecycle == Lifecycle::Active);
+            coverage.active += active;
+            if !named.contains(id) && held.claim.version.change_stamp <= version {
+                coverage.missing_active += active;
+                coverage.missing.push(id.clone());
+            }
+        }
+        coverage
+    }
+
+    /// Merges one claim, from the snapshot of this version or from a delta.
+    fn merge_claim(
+        &mut self,
+        merge: &mut Merge<'_>,
+        mut claim: EndpointClaim,
+        snapshot_version: Option<i64>,
+    ) {
+        let is_full = self.endpoints.len() >= MAX_ENDPOINTS;
+        let record = self.endpoints.get(&claim.endpoint);
+        if record.is_none() && is_full {
+            merge.result.stale_claims += 1;
+            return;
+        }
+        if let Some(held) = record.and_then(|record| record.claims.get(merge.source)) {
+            match held.decide(&claim, snapshot_version) {
+                ClaimDecision::Replace => {}
+                ClaimDecision::IgnoreStale { revival } => {
+                    merge.result.stale_claims += 1;
+                    merge.result.rejected_revivals += usize::from(revival);
+                    return;
+                }
+                ClaimDecision::IgnoreConflict => {
+                    merge.result.address_conflicts += 1;
+                    return;
+                }
+                ClaimDecision::ReplaceKeepingAddress => {
+                    merge.result.address_conflicts += 1;
+                    claim.address = held.claim.address;
+                }
+            }
+            claim.address = claim.address.or(held.claim.address);
+            claim.group = claim.group.or(held.claim.group);
+        }
+        self.hold(merge, HeldClaim { claim, absent_from: None, reported_at: merge.now });
+    }
+
+    /// Removes an endpoint that the snapshot of this version does not name.
+    fn remove_absent(&mut self, merge: &mut Merge<'_>, endpoint: EndpointId, snapshot_version: i64) {
+        let held = self.endpoints.get(&endpoint).and_then(|record| record.claims.get(merge.source));
+        let Some(mut held) = held.cloned() else { return };
+        held.claim.lifecycle = Lifecycle::Removed;
+        held.absent_from = Some(snapshot_version);
+        held.reported_at = merge.now;
+        self.hold(merge, held);
+    }
+
+    /// Stores a source's claim, and records the endpoint as changed if all sources together now resolve differently.
+    fn hold(&mut self, merge: &mut Merge<'_>, held: HeldClaim) {
+        let endpoint = held.claim.endpoint.clone();
+        let entry = self.endpoints.entry(endpoint.clone());
+        let is_new = matches!(entry, Entry::Vacant(_));
+        let record = entry.or_default();
+        record.claims.insert(merge.source, held);
+        let resolved = record.claims.resolve();
+        match (record.removed_at, resolved.lifecycle == Lifecycle::Removed) {
+            (None, true) => {
+                record.removed_at = Some(merge.now);
+                self.removed.insert((merge.now, endpoint.clone()));
+            }
+            (Some(removed_at), false) => {
+                record.removed_at = None;
+                self.removed.remove(&(removed_at, endpoint.clone()));
+            }
+            (None, false) | (Some(_), true) => {}
+        }
+        if is_new || record.resolved != resolved {
+            merge.result.changed.push(resolved.to_entry(endpoint));
+            record.resolved = resolved;
+        }
+    }
+
+    /// Evicts the endpoints that were removed longest ago, as far as they are too old or too many.
+    fn evict_removed(&mut self, now: Timestamp, result: &mut MergeResult) {
+        while let Some((removed_at, _)) = self.removed.first() {
+            if now - *removed_at < self.removed_retention && self.removed.len() <= self.max_removed {
+                return;
+            }
+            if let Some((_, endpoint)) = self.removed.pop_first() {
+                self.endpoints.remove(&endpoint);
+                result.evicted.push(endpoint);
+            }
+        }
+    }
+}
