--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,9 +14,9 @@
 
 mod action;
 mod event;
-pub mod handover;
 mod identifiers;
 pub mod membership;
+pub mod primary_search;
 mod router;
 pub mod settings;
 mod state;
--- a/crates/routing/src/router/evidence.rs
+++ b/crates/routing/src/router/evidence.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use super::tuning::*;
-use crate::handover::Candidate;
+use crate::primary_search::SearchTarget;
 use crate::state::*;
 use crate::*;
 
@@ -137,15 +137,15 @@
         }
         let candidates: Vec<_> = known
             .filter(|(_, m)| self.sendable(m))
-            .map(|(member, m)| Candidate {
-                member,
+            .map(|(endpoint, m)| SearchTarget {
+                endpoint,
                 position: m.position,
-                asked: m.probed,
-                before: m.role() == PRIMARY,
+                health_checked_at: m.probed,
+                was_primary: m.role() == PRIMARY,
             })
             .collect();
         let mut seek = group.seek;
-        let ids = seek.ask(now, self.settings.router_count, &candidates);
+        let ids = seek.next_health_checks(now, self.settings.router_count, &candidates);
         self.groups.entry(gid).and_modify(|group| group.seek = seek);
         self.probe(now, &ids, TimeDelta(1), actions);
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,6 +1,6 @@
 //! The plain state that the decisions (`router`) keep. No decision and no tuned value stands here.
 
-use crate::handover::Seek;
+use crate::primary_search::PrimarySearch;
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -105,7 +105,7 @@
     pub(crate) mark: Option<EndpointId>,
     /// The walk found no primary; writes wait until one is shown.
     pub(crate) lost: bool,
-    pub(crate) seek: Seek,
+    pub(crate) seek: PrimarySearch,
     pub(crate) held: BTreeSet<(Timestamp, RequestId)>,
     /// Of its replicas and of its primary: slow answers, and all.
     pub(crate) crowd: [Counts; 2],
