--- /dev/null
+++ b/crates/pooler/tests/sockets/client_disconnects.rs
@@ -0,0 +1,173 @@
+//! Clients that leave while something is still owed to them.
+
+use crate::support::*;
+use std::sync::Mutex;
+use std::sync::mpsc::channel;
+
+#[test]
+fn the_request_of_a_disconnected_client_is_aborted() {
+    let (closed, closings) = channel();
+    let closed = Mutex::new(closed);
+    let server = FakeServer::new("s-1", move |stream, statement| {
+        if statement.contains("id=1,") {
+            // No response; the pooler closes this connection once its client has left.
+            stream.wait_until_closed();
+            closed.lock().unwrap().send(()).unwrap();
+            return AfterStatement::Close;
+        }
+        stream.write_row(b"s-1", "replica", ANY_POSITION_MS);
+        AfterStatement::KeepOpen
+    });
+    let pooler = PoolerProcess::with_replica(&server);
+    let mut client = Client::connect(&pooler);
+    client.send_query(&read_statement("1"));
+    server.wait_for_statement();
+    drop(client);
+    assert_eq!(closings.recv(), Ok(()));
+    let mut client = Client::connect(&pooler);
+    assert_eq!(client.query(&read_statement("2")).text(), Some("s-1"));
+    let counters = pooler.counters();
+    assert!(counters.contains(" gone=1 ") && counters.contains(" outcome.cancelled=1 "), "{counters}");
+}
+
+#[test]
+fn a_disconnect_during_a_connect_sends_nothing() {
+    let (gate, server) = FakeServer::with_gated_accepts("s-1");
+    let pooler = PoolerProcess::with_replica(&server);
+    let mut client = Client::connect(&pooler);
+    client.send_query(&read_statement("1"));
+    assert!(pooler.counts(" dials=1 "));
+    drop(client);
+    assert!(pooler.counts(" gone=1 "));
+    gate.open();
+    // Served after it, on a connection of its own: by then the first has come up as well.
+    assert_eq!(Client::connect(&pooler).query(&read_statement("2")).text(), Some("s-1"));
+    let statements = server.statements();
+    assert!(statements.iter().all(|statement| statement.contains("id=2,")), "{statements:?}");
+}
+
+#[test]
+fn a_disconnect_while_a_write_is_queued_sends_nothing() {
+    let replica = FakeServer::new("s-1", |stream, statement| {
+        if statement.starts_with("SHOW") {
+            stream.write_load_report("x0=1767225600.1,x1=0", "replica");
+        } else {
+            stream.write_error("25006", "replica");
+        }
+        AfterStatement::KeepOpen
+    });
+    let primary = FakeServer::answering("s-2", "master");
+    let discovery = FakeDiscovery::new();
+    let pooler = PoolerProcess::start(&PoolerConfig::new(&discovery, vec![replica.entry("up", "replica")]));
+    let watch = discovery.accept_watch();
+    let mut client = Client::connect(&pooler);
+    client.send_query(&write_statement("1"));
+    assert!(pooler.counts(" outcome.miss=1"));
+    drop(client);
+    assert!(pooler.counts(" gone=1 "));
+    watch.send(delta(42, vec![primary.entry("up", "master")]));
+    assert_eq!(Client::connect(&pooler).query(&write_statement("2")).text(), Some("s-2"));
+    assert_eq!(primary.statements().len(), 1, "only what is still asked: {:?}", primary.statements());
+}
+
+#[test]
+fn a_late_response_is_never_given_to_another_client() {
+    let (gate, waiter) = Gate::new();
+    let server = FakeServer::new("s-1", move |stream, statement| {
+        if statement.contains("id=1,") {
+            waiter.wait();
+            stream.write_row(b"the first", "replica", ANY_POSITION_MS);
+        } else {
+            stream.write_row(b"the second", "replica", ANY_POSITION_MS);
+        }
+        AfterStatement::KeepOpen
+    });
+    let pooler = PoolerProcess::with_replica(&server);
+    let mut client = Client::connect(&pooler);
+    client.send_query(&read_statement("1"));
+    server.wait_for_statement();
+    drop(client);
+    assert!(pooler.counts(" gone=1 "));
+    gate.open();
+    let mut next = Client::connect(&pooler);
+    for id in ["2", "3", "4"] {
+        assert_eq!(next.query(&read_statement(id)).text(), Some("the second"));
+    }
+}
+
+#[test]
+fn a_disconnect_is_noticed_behind_pipelined_requests() {
+    let (gate, server) = FakeServer::with_gated_responses("s-1");
+    let pooler = PoolerProcess::with_replica(&server);
+    let mut client = Client::connect(&pooler);
+    client.send_query(&read_statement("1"));
+    server.wait_for_statement();
+    let ahead = query_bytes((0..1_000).map(|id| read_statement(&format!("2-{id}"))));
+    assert!(ahead.len() > 64 * 1024);
+    client.stream.write_bytes(&ahead);
+    drop(client);
+    // It is noticed while the first is still in flight, and what stands behind it goes with it.
+    assert!(pooler.counts_within(2_000, " gone=1 "), "it has disconnected");
+    gate.open();
+    assert_eq!(Client::connect(&pooler).query(&read_statement("3")).text(), Some("s-1"));
+    assert_eq!(server.statements().len(), 2, "nothing more was begun for it");
+}
+
+#[test]
+fn a_disconnect_is_noticed_behind_more_pipelined_bytes_than_are_read() {
+    let (gate, server) = FakeServer::with_gated_responses("s-1");
+    let pooler = PoolerProcess::with_replica(&server);
+    // More of them than may be read far ahead.
+    let mut clients: Vec<_> = (0..20).map(|_| Client::connect(&pooler)).collect();
+    for (at, client) in clients.iter_mut().enumerate() {
+        let mut ahead = Vec::new();
+        for turn in 0.. {
+            ahead.extend(query_bytes([read_statement(&format!("{at}-{turn}"))]));
+            if ahead.len() > FAR_AHEAD {
+                break;
+            }
+        }
+        client.stream.write_bytes(&ahead);
+    }
+    assert!(pooler.counts(" taken=20 "));
+    drop(clients);
+    assert!(pooler.counts(" gone=20 "), "all are noticed while their first requests are in flight");
+    gate.open();
+    assert_eq!(Client::connect(&pooler).query(&read_statement("last")).text(), Some("s-1"));
+    let is_later = |statement: &String| !statement.contains("-0,") && !statement.contains("last");
+    let later: Vec<_> = server.statements().into_iter().filter(is_later).collect();
+    assert_eq!(later, [""; 0], "nothing is begun for a client that has left");
+}
+
+#[test]
+fn a_disconnect_while_the_process_was_stopped_sends_nothing() {
+    for round in 0..5 {
+        let (gate, server) = FakeServer::with_gated_accepts("s-1");
+        let pooler = PoolerProcess::with_replica(&server);
+        let mut client = Client::connect(&pooler);
+        client.send_query(&read_statement("gone"));
+        assert!(pooler.counts(" dials=1 "));
+        pooler.while_stopped(|| {
+            drop(client);
+            gate.open();
+        });
+        assert!(pooler.counts(" gone=1 "));
+        assert_eq!(Client::connect(&pooler).query(&read_statement("next")).text(), Some("s-1"));
+        let statements = server.statements();
+        assert!(statements.iter().all(|of| of.contains("id=next,")), "{round}: {statements:?}");
+    }
+}
+
+#[test]
+fn a_client_that_half_closes_is_told_that_its_request_was_rejected() {
+    // Nothing tells the end of a client's sending from a close, so nothing more is begun for it; but it may listen.
+    let (gate, server) = FakeServer::with_gated_accepts("s-1");
+    let pooler = PoolerProcess::with_replica(&server);
+    for statement in [read_statement("1"), write_statement("2")] {
+        let mut client = Client::connect(&pooler);
+        client.send_query(&statement);
+        client.half_close();
+        assert_eq!(client.read_response().sql_state(), Some("53300"), "it was never sent to a server");
+    }
+    gate.open();
+}
--- /dev/null
+++ b/crates/pooler/tests/sockets/connection_limits.rs
@@ -0,0 +1,168 @@
+//! How many clients are let in, and which of them are evicted for others.
+
+use crate::support::*;
+use std::io::Read;
+use std::net::TcpStream;
+use std::time::Duration;
+
+/// Few descriptors: 12 are kept aside, 13 go to servers, 8 to clients that are rejected, 15 to clients.
+const FEW_SOCKETS: usize = 48;
+
+fn start_with_few_sockets(server: &FakeServer) -> PoolerProcess {
+    PoolerProcess::with_server(server, "replica", |config| config.sockets(FEW_SOCKETS))
+}
+
+/// A client with a request in flight.
+fn busy_client(pooler: &PoolerProcess, id: &str) -> Client {
+    let mut client = Client::connect(pooler);
+    client.send_query(&read_statement(id));
+    client
+}
+
+#[test]
+fn at_the_connection_limit_idle_clients_are_evicted_before_new_ones_are_rejected() {
+    let (gate, server) = FakeServer::with_gated_responses("s-1");
+    let pooler = start_with_few_sockets(&server);
+    let mut idle = Client::connect(&pooler);
+    assert_eq!(idle.query("").tags, "IZ");
+    let mut busy: Vec<Client> = (0..14).map(|number| busy_client(&pooler, &number.to_string())).collect();
+    pooler.wait_for_counter(" taken=14 ");
+    // A further client takes the place of the idle one, once that has been idle for more than a moment.
+    let connect = || {
+        let mut client = Client::connect_with(&pooler, b"");
+        (client.read_response(), client)
+    };
+    let welcomed = |(response, _): &(Response, Client)| response.is_ready();
+    let (_, mut last) = std::iter::repeat_with(connect).find(welcomed).unwrap();
+    assert!(idle.is_closed(), "the idle one made room");
+    last.send_query(&read_statement("15"));
+    busy.push(last);
+    pooler.wait_for_counter(" taken=15 ");
+    // Now all are busy. A client that comes then is told in full: its connection is not reset with the request unread.
+    let mut over = Client::over(TcpStream::connect(pooler.address).unwrap(), &read_statement("16"));
+    let response = over.read_response();
+    assert_eq!((response.tags.as_str(), response.sql_state()), ("E", Some("53300")));
+    assert!(!over.stream.was_reset, "an end, not a reset");
+    gate.open();
+    let responses: Vec<Response> = busy.iter_mut().map(Client::read_response).collect();
+    let served = responses.iter().filter(|response| response.value.is_some()).count();
+    let rejected = responses.iter().filter(|response| response.sql_state() == Some("53300")).count();
+    assert!(served >= 13, "as many as had a connection: {responses:?}");
+    assert_eq!(served + rejected, 15, "{responses:?}");
+    assert!(pooler.counters().contains(" outcome.connect_failed=0 "), "no endpoint is blamed");
+}
+
+#[test]
+fn clients_that_send_nothing_evict_nobody_and_are_closed() {
+    let server = FakeServer::answering("s-1", "replica");
+    let pooler = start_with_few_sockets(&server);
+    let mut usual = Client::connect(&pooler);
+    assert_eq!(usual.query(&read_statement("1")).text(), Some("s-1"));
+    // More of them than there are slots; two of them begin a command that they never end.
+    let mut half: Vec<_> = (0..2).map(|_| Client::connect_with(&pooler, b"Q\0\0\0\x20SEL")).collect();
+    let mut silent: Vec<_> = (0..40).map(|_| TcpStream::connect(pooler.address).unwrap()).collect();
+    let mut late = Client::connect(&pooler);
+    assert_eq!(late.query(&read_statement("2")).text(), Some("s-1"), "there is room for a client that asks");
+    assert_eq!(usual.query(&read_statement("3")).text(), Some("s-1"), "a client that was there stays");
+    for socket in &mut silent {
+        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        assert!(!matches!(socket.read(&mut [0]), Ok(1)), "closed without a message");
+    }
+    for client in &mut half {
+        while !client.is_closed() {}
+    }
+    assert_eq!(usual.query(&read_statement("4")).text(), Some("s-1"));
+}
+
+#[test]
+fn the_longest_idle_client_is_evicted_before_the_limit_is_reached() {
+    let server = FakeServer::answering("s-1", "replica");
+    // Of the 15 slots for clients no more than 12 go to such as have made a request.
+    let pooler = start_with_few_sockets(&server);
+    let served_client = |_| {
+        let mut client = Client::connect(&pooler);
+        assert!(client.query(&read_statement("1")).value.is_some());
+        client
+    };
+    let staying: Vec<Client> = (0..13).map(served_client).collect();
+    // Others come and go, so that there are never more than 14.
+    let longest_idle = &staying[0].stream.socket;
+    longest_idle.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+    let closed = (0..200).map(served_client).any(|_| matches!(longest_idle.peek(&mut [0]), Ok(0)));
+    assert!(closed, "the one idle longest");
+}
+
+#[test]
+fn idle_clients_leave_descriptors_for_discovery_and_servers() {
+    let server = FakeServer::answering("s-1", "replica");
+    let discovery = FakeDiscovery::new();
+    let pooler = PoolerProcess::start(&PoolerConfig::new(&discovery, Vec::new()).sockets(FEW_SOCKETS));
+    let watch = discovery.accept_watch();
+    // As many as it lets in, and more; each has sent something, and stays.
+    let mut idle = Vec::new();
+    for _ in 0..60 {
+        let mut client = Client::connect_with(&pooler, b"Q\0\0\0\x05\0");
+        client.read_response();
+        idle.push(client);
+    }
+    watch.end();
+    let watch = discovery.accept_watch();
+    watch.send(snapshot(42, vec![server.entry("up", "replica")]));
+    let served = (0..200).any(|at| {
+        let mut client = Client::connect_with(&pooler, b"");
+        client.read_response().is_ready() && client.query(&read_statement(&at.to_string())).value.is_some()
+    });
+    assert!(served);
+}
+
+/// A pooler whose client slots are all taken by requests in flight; opening the gate has them answered.
+struct FullPooler {
+    gate: Gate,
+    _server: FakeServer,
+    pooler: PoolerProcess,
+    clients: Vec<Client>,
+}
+
+impl FullPooler {
+    fn start(configure: impl FnOnce(PoolerConfig) -> PoolerConfig) -> Self {
+        let (gate, server) = FakeServer::with_gated_accepts("s-1");
+        let pooler =
+            PoolerProcess::with_server(&server, "replica", |config| configure(config.sockets(FEW_SOCKETS)));
+        let mut clients = Vec::new();
+        for at in 1..=15 {
+            clients.push(busy_client(&pooler, &format!("busy-{at}")));
+            assert!(pooler.counts(&format!(" taken={at} ")));
+        }
+        Self { gate, _server: server, pooler, clients }
+    }
+}
+
+#[test]
+fn a_client_is_let_in_once_the_connection_limit_is_no_longer_reached() {
+    let FullPooler { gate, _server, pooler, clients } = FullPooler::start(|config| config);
+    gate.open();
+    for mut client in clients {
+        assert!(client.read_response().value.is_some());
+    }
+    let mut late = Client::connect_with(&pooler, b"");
+    let welcome = late.read_response();
+    assert!(welcome.is_ready(), "{welcome:?}");
+    assert!(late.query(&read_statement("late")).value.is_some());
+}
+
+#[test]
+fn a_rejection_at_the_connection_limit_carries_the_configured_retry_after() {
+    for (allowed, longest, detail) in
+        [(true, 2_000, Some("250")), (true, 100, Some("100")), (false, 2_000, None)]
+    {
+        let full = FullPooler::start(|config| {
+            config
+                .with("/settings/Limits/RetryAfter", allowed)
+                .with("/settings/Limits/MaxRetryAfter", longest)
+        });
+        let response = Client::connect_with(&full.pooler, b"").read_response();
+        assert_eq!(response.sql_state(), Some("53300"));
+        assert_eq!(response.detail.as_deref(), detail, "{allowed} {longest}");
+        full.gate.open();
+    }
+}
--- /dev/null
+++ b/crates/pooler/tests/sockets/malformed_input.rs
@@ -0,0 +1,115 @@
+//! What clients send that makes no sense, or only half of it.
+
+use crate::support::*;
+use std::io::Write;
+use std::time::Instant;
+
+/// Statements that no server is asked, with the tags of their responses.
+const ANSWERED_BY_THE_POOLER: [(&str, &str); 13] = [
+    ("", "IZ"),
+    (" ; ", "IZ"),
+    ("SET x = 1", "CZ"),
+    ("SELECT now()", "EZ"),
+    ("SELECT 1 /* id=1,c=unheard-of,d=100,cluster=2 */", "EZ"),
+    ("SELECT 1 /* id=1,c=bundle-menu,d=soon,cluster=2 */", "EZ"),
+    ("SELECT 1 /* id=1,c=bundle-menu,d=nan,cluster=2 */", "EZ"),
+    ("SELECT 1 /* id=1,c=bundle-menu,d=-5,cluster=2 */", "EZ"),
+    ("SELECT 1 /* id=1,c=bundle-menu,d=1e3,cluster=2 */", "EZ"),
+    ("SELECT 1 /* id=1,c=bundle-menu,cluster=2 */", "EZ"),
+    ("SELECT 1 /* c=bundle-menu,d=100,cluster=2 */", "EZ"),
+    ("SELECT 1 /* id=,c=bundle-menu,d=100,cluster=2 */", "EZ"),
+    ("SELECT 1 /* prose */", "EZ"),
+];
+
+/// Messages that break the protocol.
+const PROTOCOL_VIOLATIONS: [&[u8]; 4] =
+    [b"Q\xff\xff\xff\xff", b"Q\0\0\0\0", b"Q\0\0\0\x06ab", b"\x01\0\0\0\x04"];
+
+#[test]
+fn malformed_input_is_rejected_and_affects_no_other_client() {
+    let server = FakeServer::answering("s-1", "replica");
+    let pooler = PoolerProcess::with_replica(&server);
+    for (statement, tags) in ANSWERED_BY_THE_POOLER {
+        assert_eq!(Client::connect(&pooler).query(statement).tags, tags, "{statement}");
+    }
+    // The extended protocol is rejected once, up to Sync.
+    let mut client = Client::connect(&pooler);
+    client.stream.write_bytes(b"P\0\0\0\x08\0\0\0\0B\0\0\0\x04S\0\0\0\x04");
+    assert_eq!(client.read_response().tags, "EZ");
+    for violation in PROTOCOL_VIOLATIONS {
+        let mut client = Client::connect(&pooler);
+        client.stream.write_bytes(violation);
+        let response = client.read_response();
+        assert_eq!((response.tags.as_str(), response.sql_state()), ("E", Some("08P01")), "{violation:?}");
+    }
+    // The same again the moment it was rejected: a few errors, and then an end.
+    let mut flood = Client::connect(&pooler);
+    for _ in 0..20 {
+        flood.send_query("SELECT now()");
+    }
+    let tags: Vec<String> = (0..8).map(|_| flood.read_response().tags).collect();
+    assert_eq!((tags.concat().as_str(), flood.is_closed()), ("EZEZEZEZEZEZEZE", true));
+    // One that is still sending 60 MB can read what is wrong with them.
+    let mut huge = Client::connect(&pooler);
+    let mut socket = huge.stream.socket.try_clone().unwrap();
+    let sender = std::thread::spawn(move || {
+        let _ = socket.write_all(b"Q\x03\x93\x87\0");
+        (0..916).all(|_| socket.write_all(&[b'x'; 65_536]).is_ok())
+    });
+    let response = huge.read_response();
+    assert_eq!((response.tags.as_str(), response.sql_state()), ("E", Some("08P01")));
+    drop(huge);
+    sender.join().unwrap();
+    assert_eq!(server.statements(), [""; 0]);
+    assert_eq!(client.query(&read_statement("1")).text(), Some("s-1"));
+}
+
+#[test]
+fn a_request_id_in_use_is_rejected() {
+    let (gate, server) = FakeServer::with_gated_responses("s-1");
+    let pooler = PoolerProcess::with_replica(&server);
+    let (mut owner, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
+    owner.send_query(&read_statement("7"));
+    server.wait_for_statement();
+    assert_eq!(other.query(&read_statement("7")).tags, "EZ");
+    gate.open();
+    assert_eq!(owner.read_response().text(), Some("s-1"));
+    assert_eq!(server.statements().len(), 1);
+    // It is free again once the response has gone out.
+    assert_eq!(owner.query(&read_statement("7")).text(), Some("s-1"));
+}
+
+#[test]
+fn an_incomplete_command_at_end_of_stream_is_no_request() {
+    let server = FakeServer::answering("s-1", "replica");
+    let pooler = PoolerProcess::with_replica(&server);
+    let mut client = Client::connect(&pooler);
+    let mut bytes = query_bytes([read_statement("1")]);
+    let complete = bytes.len();
+    bytes.extend(query_bytes([read_statement("2")]));
+    client.stream.write_bytes(&bytes[..complete + 20]);
+    assert_eq!(client.read_response().text(), Some("s-1"), "the complete one is answered");
+    client.half_close();
+    assert!(client.is_closed_in_order());
+    assert_eq!(server.statements().len(), 1);
+}
+
+#[test]
+fn a_command_left_incomplete_is_rejected_when_its_connection_is_closed() {
+    let server = FakeServer::answering("s-1", "replica");
+    let pooler = PoolerProcess::with_replica(&server);
+    let mut half = query_bytes([read_statement("half")]);
+    half.truncate(half.len() / 2);
+    for asked_before in [false, true] {
+        let mut client = Client::connect(&pooler);
+        if asked_before {
+            assert_eq!(client.query(&read_statement("1")).text(), Some("s-1"));
+        }
+        client.stream.write_bytes(&half);
+        let begun = Instant::now();
+        let response = client.read_response();
+        assert_eq!(response.sql_state(), Some("57P03"), "{asked_before}: {response:?}");
+        assert!(begun.elapsed().as_millis() < 3_000, "within the time that is owed");
+    }
+    assert!(server.statements().iter().all(|statement| !statement.contains("half")));
+}
--- /dev/null
+++ b/crates/pooler/tests/sockets/reload.rs
@@ -0,0 +1,71 @@
+//! Reloads of the configuration.
+
+use crate::support::*;
+use std::time::{Duration, Instant};
+
+#[test]
+fn a_reload_moves_the_watch_and_an_invalid_configuration_changes_nothing() {
+    let (gate, busy_server) = FakeServer::with_gated_responses("s-1");
+    let (added, dropped) = (FakeServer::answering("s-2", "replica"), FakeServer::answering("s-3", "replica"));
+    let (old, new) = (FakeDiscovery::new(), FakeDiscovery::new());
+    let mut pooler = PoolerProcess::start(&PoolerConfig::new(&old, vec![busy_server.entry("up", "replica")]));
+    let _silent = old.accept_watch();
+    let mut busy = Client::connect(&pooler);
+    busy.send_query(&read_statement("1"));
+    busy_server.wait_for_statement();
+    for invalid in ["", "{\"discovery\": 7}"] {
+        pooler.write_configuration(invalid);
+        pooler.signal(Signal::Reload);
+        pooler.wait_for_log("configuration kept as it was: ");
+    }
+    // The old address would stay silent for seconds yet; the new one is told the generation that is known.
+    pooler.write_configuration(&PoolerConfig::new(&new, Vec::new()).to_string());
+    pooler.signal(Signal::Reload);
+    pooler.wait_for_log("configuration read again");
+    let watch = new.accept_watch();
+    assert!(watch.request_line.contains("since=41"), "{}", watch.request_line);
+    gate.open();
+    assert_eq!(busy.read_response().text(), Some("s-1"), "the request in flight went on");
+    // The snapshot there replaces the endpoints known before, and deltas follow.
+    watch.send(snapshot(7, vec![dropped.entry("up", "replica")]));
+    watch.send(delta(8, vec![added.entry("up", "replica"), dropped.entry("draining", "")]));
+    let mut client = Client::connect(&pooler);
+    while client.query(&read_statement("2")).text() != Some("s-2") {}
+    let before = busy_server.statements().len();
+    for _ in 0..20 {
+        assert_eq!(client.query(&read_statement("3")).text(), Some("s-2"));
+    }
+    assert_eq!(busy_server.statements().len(), before, "a removed endpoint gets nothing new");
+    assert!(pooler.counters().contains(" reloads=1 "));
+    drop((busy, client));
+    pooler.signal(Signal::Terminate);
+    assert!(pooler.wait().success());
+}
+
+#[test]
+fn rapid_reloads_end_at_the_last_configuration() {
+    let server = FakeServer::answering("s-1", "replica");
+    let discoveries = [FakeDiscovery::new(), FakeDiscovery::new(), FakeDiscovery::new()];
+    let config =
+        |discovery: &FakeDiscovery| PoolerConfig::new(discovery, vec![server.entry("up", "replica")]);
+    let pooler = PoolerProcess::start(&config(&discoveries[0]));
+    let _first = discoveries[0].accept_watch();
+    for turn in [1, 2, 0, 1, 2] {
+        pooler.write_configuration(&config(&discoveries[turn]).to_string());
+        pooler.signal(Signal::Reload);
+    }
+    let begun = Instant::now();
+    let drained_after = loop {
+        let watch = discoveries[2].accept_watch();
+        watch.send(delta(42, vec![server.entry("draining", "replica")]));
+        let mut client = Client::connect(&pooler);
+        let rejected = (0..50).any(|at| {
+            std::thread::sleep(Duration::from_millis(10));
+            client.query(&with_deadline(&read_statement(&at.to_string()), 50)).value.is_none()
+        });
+        if rejected {
+            break begun.elapsed();
+        }
+    };
+    assert!(drained_after.as_millis() < 4_000, "taken in within 4 s of the last signal: {drained_after:?}");
+}
--- /dev/null
+++ b/crates/pooler/tests/support/statements.rs
@@ -0,0 +1,44 @@
+//! Statements as clients write them.
+
+use pooler_proxy::protocol::write;
+
+/// How the statements below tell their deadline, of 8 s.
+pub const DEADLINE_FIELD: &str = "d=8000";
+
+/// So many bytes of requests that a client sends ahead: more than any buffer of the pooler reads.
+pub const FAR_AHEAD: usize = 600 * 1024;
+
+/// A read that any replica may serve.
+pub fn read_statement(id: &str) -> String {
+    format!("SELECT content FROM kv WHERE name = 'm1' /* id={id},c=bundle-menu,{DEADLINE_FIELD},cluster=2 */")
+}
+
+/// A write that must not run twice.
+pub fn write_statement(id: &str) -> String {
+    format!(
+        "INSERT INTO kv (name, content) VALUES ('a1', '\\x9f03') RETURNING content \
+         /* id={id},c=top-up,{DEADLINE_FIELD},cluster=2 */"
+    )
+}
+
+/// A statement of the above with another deadline.
+pub fn with_deadline(statement: &str, milliseconds: u32) -> String {
+    statement.replace(DEADLINE_FIELD, &format!("d={milliseconds}"))
+}
+
+/// Query messages with these statements, one after the other.
+pub fn query_bytes(statements: impl IntoIterator<Item = impl AsRef<str>>) -> Vec<u8> {
+    let mut out = Vec::new();
+    for statement in statements {
+        write::query(&mut out, statement.as_ref());
+    }
+    out
+}
+
+/// A startup message, and straight after it `pipelined`.
+pub fn startup_bytes(pipelined: &[u8]) -> Vec<u8> {
+    let mut out = Vec::new();
+    write::startup(&mut out, "backend", "store");
+    out.extend_from_slice(pipelined);
+    out
+}
