--- a/crates/interrupted-io/tests/interrupted.rs
+++ b/crates/interrupted-io/tests/interrupted.rs
@@ -1,35 +1,35 @@
-//! A stream in which every other call is interrupted loses nothing.
+//! A stream of which every other call is interrupted loses no bytes.
 
 use futures_lite::future::block_on;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use pooler_interrupted_io::Resuming;
+use pooler_interrupted_io::RetryInterrupted;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Holds what is to be read and what was written; each call is interrupted once before it is carried out.
+/// A stream in memory; each call is interrupted once before it is carried out.
 #[derive(Default)]
-struct Interrupted {
+struct InterruptedStream {
     unread: Vec<u8>,
     written: Vec<u8>,
     calls: usize,
 }
 
-impl Interrupted {
-    fn interrupts(&mut self) -> bool {
+impl InterruptedStream {
+    fn next_call_is_interrupted(&mut self) -> bool {
         self.calls += 1;
         self.calls % 2 == 1
     }
 
-    fn perform<T>(&mut self, work: impl FnOnce(&mut Self) -> T) -> Poll<io::Result<T>> {
-        if self.interrupts() {
+    fn perform<T>(&mut self, operation: impl FnOnce(&mut Self) -> T) -> Poll<io::Result<T>> {
+        if self.next_call_is_interrupted() {
             return Poll::Ready(Err(io::ErrorKind::Interrupted.into()));
         }
-        Poll::Ready(Ok(work(self)))
+        Poll::Ready(Ok(operation(self)))
     }
 }
 
-impl AsyncRead for Interrupted {
+impl AsyncRead for InterruptedStream {
     fn poll_read(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
         self.perform(|stream| {
             let count = bytes.len().min(stream.unread.len()).min(3);
@@ -40,7 +40,7 @@
     }
 }
 
-impl AsyncWrite for Interrupted {
+impl AsyncWrite for InterruptedStream {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.perform(|stream| {
             let count = bytes.len().min(3);
@@ -71,9 +71,11 @@
 }
 
 #[test]
-fn an_interrupted_call_is_made_again() {
-    let mut stream =
-        Resuming(Interrupted { unread: b"all that was sent".to_vec(), ..Interrupted::default() });
+fn interrupted_calls_are_retried() {
+    let mut stream = RetryInterrupted(InterruptedStream {
+        unread: b"all that was sent".to_vec(),
+        ..InterruptedStream::default()
+    });
     let mut read = Vec::new();
     block_on(async {
         stream.read_to_end(&mut read).await.unwrap();
--- a/crates/pooler/tests/crossings.rs
+++ b/crates/pooler/tests/crossings.rs
@@ -191,7 +191,7 @@
     let stream = TcpStream::connect(pooler.address).unwrap();
     stream.set_nodelay(true).unwrap();
     let mut bytes = Vec::new();
-    write::startup(&mut bytes, "backend", "store");
+    write::startup_message(&mut bytes, "backend", "store");
     write::query(&mut bytes, &menu("1"));
     for byte in &bytes {
         (&stream).write_all(&[*byte]).unwrap();
--- a/crates/pooler/tests/peers/mod.rs
+++ b/crates/pooler/tests/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted peers on loopback sockets: servers, discovery and clients round the built pooler.
 #![allow(dead_code)]
 
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, BackendKeyData, SqlState, write};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -48,7 +48,7 @@
 
     pub fn startup(&mut self) -> bool {
         loop {
-            if let Some((_, size)) = pg::startup(&self.read).unwrap() {
+            if let Some((_, size)) = protocol::parse_startup_message(&self.read).unwrap() {
                 self.read.drain(..size);
                 return true;
             }
@@ -61,7 +61,7 @@
     /// The next message; `None` once the other side has closed.
     pub fn message(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
-            if let Some(message) = pg::message(&self.read).unwrap() {
+            if let Some(message) = protocol::parse_frontend_message(&self.read).unwrap() {
                 let (tag, body, size) = (message.tag, message.body.to_vec(), message.size);
                 self.read.drain(..size);
                 return Some((tag, body));
@@ -85,19 +85,25 @@
         row.extend_from_slice(&u32::try_from(value.len()).unwrap().to_be_bytes());
         row.extend_from_slice(value);
         message(&mut out, b'D', &row);
-        write::complete(&mut out, "SELECT 1");
+        write::command_complete(&mut out, "SELECT 1");
         for (name, value) in [("part", part), ("caught_up_to", caught_up_to)] {
             message(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
         }
-        write::ready(&mut out);
+        write::ready_for_query(&mut out);
         self.put(&out);
     }
 
     pub fn error(&mut self, code: &str, part: &str) {
         let mut out = Vec::new();
-        write::error(&mut out, write::Severity::Error, code, "scripted", None);
+        write::error_response(
+            &mut out,
+            write::Severity::Error,
+            SqlState::try_from(code).unwrap(),
+            "scripted",
+            None,
+        );
         message(&mut out, b'S', format!("part\0{part}\0").as_bytes());
-        write::ready(&mut out);
+        write::ready_for_query(&mut out);
         self.put(&out);
     }
 
@@ -152,8 +158,8 @@
         Self::start(id, door, move |wire, statement| {
             if statement.is_empty() {
                 let mut out = Vec::new();
-                write::empty_query(&mut out);
-                write::ready(&mut out);
+                write::empty_query_response(&mut out);
+                write::ready_for_query(&mut out);
                 wire.put(&out);
                 return true;
             }
@@ -177,10 +183,10 @@
                 }
                 scripts.0();
                 let mut out = Vec::new();
-                write::welcome(&mut out, 1, 1);
+                write::session_start(&mut out, BackendKeyData { process_id: 1, secret_key: 1 });
                 wire.put(&out);
                 while let Some((b'Q', body)) = wire.message() {
-                    let statement = pg::query_text(&body).unwrap();
+                    let statement = protocol::parse_query(&body).unwrap();
                     if !statement.is_empty() && !statement.starts_with("SHOW") {
                         log.lock().unwrap().push(statement.to_owned());
                     }
@@ -413,7 +419,7 @@
 
     fn open(stream: TcpStream, more: &[u8]) -> Self {
         let mut out = Vec::new();
-        write::startup(&mut out, "backend", "store");
+        write::startup_message(&mut out, "backend", "store");
         out.extend_from_slice(more);
         let mut client = Self(Wire::new(stream));
         client.0.put(&out);
@@ -436,7 +442,7 @@
         while let Some((tag, body)) = self.0.message() {
             answer.tags.push(char::from(tag));
             match tag {
-                b'D' => answer.value = pg::row_value(&body).unwrap().map(<[u8]>::to_vec),
+                b'D' => answer.value = protocol::parse_data_row(&body).unwrap().map(<[u8]>::to_vec),
                 b'E' => {
                     for field in body.split(|byte| *byte == 0).filter(|field| !field.is_empty()) {
                         let text = Some(String::from_utf8(field[1..].to_vec()).unwrap());
--- a/crates/proxy/src/buffer.rs
+++ b/crates/proxy/src/buffer.rs
@@ -1,8 +1,8 @@
-//! Reading into buffers that shrink when idle, and writing from several places at once.
+//! Read buffers that shrink while idle, and vectored writes.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use pooler_interrupted_io::Resuming;
+use pooler_interrupted_io::RetryInterrupted;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read};
@@ -10,130 +10,164 @@
 use std::ops::Range;
 use std::time::Instant;
 
-const FIRST: usize = 2 * 1024;
-/// An idle buffer keeps no more than this.
-const KEPT: usize = 4 * 1024;
-/// So many arrivals are told apart; what comes beyond them counts as come with the last.
-const MOST_ARRIVALS: usize = 256;
+/// The capacity that a buffer begins with, in bytes.
+const INITIAL_CAPACITY: usize = 2 * 1024;
+/// The largest capacity that an idle buffer keeps, in bytes.
+const MAX_IDLE_CAPACITY: usize = 4 * 1024;
+/// The number of reads whose arrival times are kept; later reads count as having arrived with the last of them.
+const MAX_ARRIVALS: usize = 256;
 
-/// Bytes that were read and not yet used up.
+/// When the bytes of the stream up to a position had arrived.
+#[derive(Debug)]
+struct Arrival {
+    /// The position in the stream behind the last byte of the read.
+    end: usize,
+    time: Instant,
+}
+
+/// Bytes that were read from a stream and not consumed yet.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    from: usize,
-    to: usize,
-    /// How many bytes of the stream have been used up.
-    used: usize,
-    /// Up to which byte of the stream each read came, and when.
-    arrivals: VecDeque<(usize, Instant)>,
+    /// Where the unconsumed bytes begin and end in `bytes`.
+    start: usize,
+    end: usize,
+    /// The position in the stream of the first unconsumed byte.
+    consumed: usize,
+    /// The arrival times of the unconsumed bytes, in the order of the stream.
+    arrivals: VecDeque<Arrival>,
 }
 
 impl ReadBuffer {
-    /// What has been read and not used up.
+    /// The bytes that were read and not consumed yet.
     #[must_use]
     pub fn data(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+        &self.bytes[self.start..self.end]
     }
 
-    /// Uses up so many bytes.
+    /// Consumes the first `count` bytes.
     pub fn consume(&mut self, count: usize) {
-        let count = count.min(self.to - self.from);
-        self.from += count;
-        self.use_up(count);
-        if self.from == self.to {
-            (self.from, self.to) = (0, 0);
-        }
+        let count = count.min(self.len());
+        self.start += count;
+        self.advance_stream(count);
+        self.rewind_if_empty();
     }
 
-    /// Forgets all but the first `count` bytes, as if they had not been read.
+    /// Drops all but the first `count` bytes, as if they had never been read.
     pub fn truncate(&mut self, count: usize) {
-        self.to = self.to.min(self.from + count);
-        let end = self.used + self.to - self.from;
-        while self.arrivals.len() > 1 && self.arrivals[self.arrivals.len() - 2].0 >= end {
+        self.end = self.end.min(self.start + count);
+        let stream_end = self.stream_end();
+        while self.arrivals.len() > 1 && self.arrivals[self.arrivals.len() - 2].end >= stream_end {
             self.arrivals.pop_back();
         }
         if let Some(last) = self.arrivals.back_mut() {
-            last.0 = last.0.min(end);
-        }
-        if self.from == self.to {
-            (self.from, self.to) = (0, 0);
+            last.end = last.end.min(stream_end);
         }
+        self.rewind_if_empty();
     }
 
-    fn use_up(&mut self, count: usize) {
-        self.used += count;
-        while self.arrivals.front().is_some_and(|(end, _)| *end <= self.used) {
-            self.arrivals.pop_front();
-        }
-    }
-
-    /// When the first `count` bytes had all been read; `None` while they have not.
+    /// When the last of the first `count` bytes arrived; `None` while it has not.
     #[must_use]
-    pub fn arrived(&self, count: usize) -> Option<Instant> {
-        self.arrivals.iter().find(|(end, _)| *end >= self.used + count).map(|(_, at)| *at)
+    pub fn arrival_time(&self, count: usize) -> Option<Instant> {
+        let position = self.consumed + count;
+        self.arrivals.iter().find(|arrival| arrival.end >= position).map(|arrival| arrival.time)
     }
 
-    /// Reads once; the count is 0 at the end of the stream.
+    /// Reads once and gives the number of bytes, which is 0 at the end of the stream.
     ///
     /// # Errors
     ///
     /// When reading fails.
     pub async fn fill(&mut self, stream: &Async<TcpStream>) -> io::Result<usize> {
-        if self.to == self.bytes.len() {
-            if self.from > 0 {
-                self.bytes.copy_within(self.from..self.to, 0);
-                (self.from, self.to) = (0, self.to - self.from);
-            } else {
-                self.bytes.resize((2 * self.bytes.len()).max(FIRST), 0);
-            }
+        if self.end == self.bytes.len() {
+            self.make_room();
         }
-        let mut stream = Resuming(stream);
-        let count = stream.read(&mut self.bytes[self.to..]).await?;
+        let mut stream = RetryInterrupted(stream);
+        let count = stream.read(&mut self.bytes[self.end..]).await?;
         if count == 0 {
             return Ok(0);
         }
-        self.to += count;
-        let end = self.used + self.to - self.from;
-        let full = self.arrivals.len() >= MOST_ARRIVALS;
-        match self.arrivals.back_mut().filter(|_| full) {
-            Some(last) => last.0 = end,
-            None => self.arrivals.push_back((end, Instant::now())),
-        }
+        self.end += count;
+        self.record_arrival();
         Ok(count)
     }
 
-    /// Takes the first `count` bytes out with the buffer that they stand in, so that they outlive further
-    /// reading uncopied. Only what was read beyond them is copied.
+    /// Moves the first `count` bytes out together with the allocation that they are in, so that they stay valid uncopied
+    /// while the buffer reads on; gives the allocation and their place in it. Only the bytes after them are copied.
     pub fn detach(&mut self, count: usize) -> (Vec<u8>, Range<usize>) {
-        let taken = self.from..(self.from + count).min(self.to);
-        let rest = self.bytes[taken.end..self.to].to_vec();
-        self.use_up(taken.len());
-        (self.from, self.to) = (0, rest.len());
+        let detached = self.start..(self.start + count).min(self.end);
+        let rest = self.bytes[detached.end..self.end].to_vec();
+        self.advance_stream(detached.len());
+        self.start = 0;
+        self.end = rest.len();
         let mut bytes = std::mem::replace(&mut self.bytes, rest);
-        // A large value may be held for seconds, beside hundreds of others: not in a buffer twice its size.
-        if bytes.len() - taken.end > KEPT {
-            bytes.truncate(taken.end);
+        // A large value may be kept for seconds, beside hundreds of others: not in an allocation twice its size.
+        if bytes.len() - detached.end > MAX_IDLE_CAPACITY {
+            bytes.truncate(detached.end);
             bytes.shrink_to_fit();
         }
-        (bytes, taken)
+        (bytes, detached)
     }
 
-    /// Takes a detached buffer back for further use, unless it is large.
-    pub fn give_back(&mut self, bytes: Vec<u8>) {
-        if self.bytes.is_empty() && bytes.len() <= KEPT {
+    /// Reuses the allocation of detached bytes, unless it is large.
+    pub fn reuse(&mut self, bytes: Vec<u8>) {
+        if self.bytes.is_empty() && bytes.len() <= MAX_IDLE_CAPACITY {
             self.bytes = bytes;
         }
     }
 
-    /// Lets go of a large buffer while there is nothing in it.
-    pub fn rest(&mut self) {
-        if self.from == self.to && self.bytes.len() > KEPT {
+    /// Releases a large allocation while the buffer is empty.
+    pub fn shrink_if_empty(&mut self) {
+        if self.start == self.end && self.bytes.len() > MAX_IDLE_CAPACITY {
             *self = Self::default();
         }
     }
+
+    fn len(&self) -> usize {
+        self.end - self.start
+    }
+
+    /// The position in the stream behind the last byte that was read.
+    fn stream_end(&self) -> usize {
+        self.consumed + self.len()
+    }
+
+    fn make_room(&mut self) {
+        if self.start > 0 {
+            self.bytes.copy_within(self.start..self.end, 0);
+            self.end = self.len();
+            self.start = 0;
+        } else {
+            self.bytes.resize((2 * self.bytes.len()).max(INITIAL_CAPACITY), 0);
+        }
+    }
+
+    fn rewind_if_empty(&mut self) {
+        if self.start == self.end {
+            self.start = 0;
+            self.end = 0;
+        }
+    }
+
+    fn advance_stream(&mut self, count: usize) {
+        self.consumed += count;
+        while self.arrivals.front().is_some_and(|arrival| arrival.end <= self.consumed) {
+            self.arrivals.pop_front();
+        }
+    }
+
+    fn record_arrival(&mut self) {
+        let end = self.stream_end();
+        let is_full = self.arrivals.len() >= MAX_ARRIVALS;
+        match self.arrivals.back_mut().filter(|_| is_full) {
+            Some(last) => last.end = end,
+            None => self.arrivals.push_back(Arrival { end, time: Instant::now() }),
+        }
+    }
 }
 
-/// Reads once into a buffer that many share, and forgets it; the count is 0 at the end of the stream.
+/// Reads once into a scratch buffer that many streams share, and discards the bytes; gives their number, which is 0 at
+/// the end of the stream.
 ///
 /// # Errors
 ///
@@ -142,25 +176,26 @@
     loop {
         match stream.read_with(|mut stream| stream.read(&mut scratch.borrow_mut())).await {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Writes all pieces, one after another, in as few calls as the system allows.
+/// Writes all pieces, one after another, in as few system calls as possible.
 ///
 /// # Errors
 ///
-/// When writing fails, or the other side takes nothing more.
+/// When writing fails, or the peer accepts no more bytes.
 pub async fn write_all(stream: &Async<TcpStream>, pieces: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice<'_>> = pieces.iter().map(|piece| IoSlice::new(piece)).collect();
-    let mut left = slices.as_mut_slice();
-    let mut stream = Resuming(stream);
-    IoSlice::advance_slices(&mut left, 0);
-    while !left.is_empty() {
-        match stream.write_vectored(left).await? {
+    let mut remaining = slices.as_mut_slice();
+    let mut stream = RetryInterrupted(stream);
+    // Skips empty pieces at the front.
+    IoSlice::advance_slices(&mut remaining, 0);
+    while !remaining.is_empty() {
+        match stream.write_vectored(remaining).await? {
             0 => return Err(io::ErrorKind::WriteZero.into()),
-            count => IoSlice::advance_slices(&mut left, count),
+            count => IoSlice::advance_slices(&mut remaining, count),
         }
     }
     Ok(())
--- a/crates/proxy/src/client/read_ahead.rs
+++ b/crates/proxy/src/client/read_ahead.rs
@@ -2,7 +2,7 @@
 //! client sends ahead, its close is seen. What was passed over is refused in its turn.
 
 use crate::buffer::{ReadBuffer, discard};
-use crate::protocol::{self as pg, PgError, Skipper};
+use crate::protocol::{self, ProtocolError, QuerySkipper};
 use async_io::Async;
 use futures_lite::future::yield_now;
 use std::cell::{Cell, RefCell};
@@ -61,9 +61,9 @@
 /// What came after the buffer was full.
 #[derive(Default)]
 struct Beyond {
-    skipper: Skipper,
+    skipper: QuerySkipper,
     /// It can't be followed any further.
-    spoilt: Option<PgError>,
+    spoilt: Option<ProtocolError>,
 }
 
 impl Beyond {
@@ -72,7 +72,7 @@
         let mut beyond = Self::default();
         let mut whole = 0;
         loop {
-            match pg::message(&buffer.data()[whole..]) {
+            match protocol::parse_frontend_message(&buffer.data()[whole..]) {
                 Ok(Some(message)) => whole += message.size,
                 Ok(None) => break,
                 Err(error) => {
@@ -91,7 +91,7 @@
             self.spoilt = self.skipper.advance(bytes).err();
         }
         if self.skipper.queries() > MOST_PASSED_OVER {
-            self.spoilt = Some(PgError::Malformed("stream of commands"));
+            self.spoilt = Some(ProtocolError::Malformed("stream of commands"));
         }
     }
 }
@@ -108,7 +108,7 @@
     /// The client has ended its session.
     Ended,
     /// What came makes no sense.
-    Spoilt(PgError),
+    Spoilt(ProtocolError),
 }
 
 impl ReadAhead {
@@ -166,10 +166,10 @@
         if let Some(error) = beyond.spoilt {
             return PassedOver::Spoilt(error);
         }
-        if beyond.skipper.has_ended() {
+        if beyond.skipper.is_terminated() {
             return PassedOver::Ended;
         }
-        if !beyond.skipper.is_between() {
+        if !beyond.skipper.is_between_messages() {
             return PassedOver::Begun;
         }
         self.beyond = None;
--- a/crates/proxy/src/client/session.rs
+++ b/crates/proxy/src/client/session.rs
@@ -6,7 +6,7 @@
 use crate::client::read_ahead::{PassedOver, ReadAhead};
 use crate::client::session_keys::Session;
 use crate::protocol::write::{self, Severity};
-use crate::protocol::{self as pg, Asks, BackendKey, PgError, Startup};
+use crate::protocol::{self, ProtocolError, SqlState, StartupMessage, StatementKind};
 use crate::request::{Asked, Cut, Final, serve};
 use crate::server::pool::{Reply, Statement};
 use async_io::{Async, Timer};
@@ -41,7 +41,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Pg(#[from] PgError),
+    Pg(#[from] ProtocolError),
     #[error("too slow")]
     Slow,
 }
@@ -100,7 +100,7 @@
     /// Something answered here; the answer is in the buffer given.
     Answered,
     /// Something that is not served: the code and words of its error.
-    Rejected(&'static str, String),
+    Rejected(SqlState, String),
     /// The connection ends.
     End,
 }
@@ -136,12 +136,17 @@
         match ended {
             Err(ClientError::Pg(error)) => {
                 self.frontend.counters.rejected.add();
-                self.part("08P01", &error.to_string(), None).await
+                self.part(SqlState::PROTOCOL_VIOLATION, &error.to_string(), None).await
             }
             // What was read of a command is owed a word, as the rest of it may be on its way.
             Ok(EndedBy::Pooler) if self.has_begun_command() => {
                 self.frontend.counters.rejected.add();
-                self.part("57P03", "the connection ends before the command was read", None).await
+                self.part(
+                    SqlState::CANNOT_CONNECT_NOW,
+                    "the connection ends before the command was read",
+                    None,
+                )
+                .await
             }
             // Who has asked nothing yet has no answer to lose.
             Ok(_) if self.stage == Stage::Known => self.close(CLOSING).await,
@@ -156,9 +161,9 @@
 
     /// Sends the last words on a connection, and reads what the client is still writing: to close before that
     /// would reset the connection, and the words might be lost with it.
-    async fn part(&mut self, code: &str, words: &str, detail: Option<&str>) -> Result<(), ClientError> {
+    async fn part(&mut self, code: SqlState, words: &str, detail: Option<&str>) -> Result<(), ClientError> {
         let mut out = Vec::new();
-        write::error(&mut out, Severity::Fatal, code, words, detail);
+        write::error_response(&mut out, Severity::Fatal, code, words, detail);
         self.send(&[&out]).await?;
         self.close(PARTING).await
     }
@@ -197,15 +202,15 @@
     /// The startup; false if there is no session after it.
     async fn begin(&mut self, room: bool) -> Result<bool, ClientError> {
         loop {
-            if let Some((kind, size)) = pg::startup(self.buffer.data())? {
+            if let Some((kind, size)) = protocol::parse_startup_message(self.buffer.data())? {
                 self.buffer.consume(size);
                 match kind {
-                    Startup::Encryption => self.send(&[b"N"]).await?,
-                    Startup::Cancel(session) => {
-                        self.frontend.sessions.cancel(session);
+                    StartupMessage::EncryptionRequest => self.send(&[b"N"]).await?,
+                    StartupMessage::CancelRequest(key) => {
+                        self.frontend.sessions.cancel(key);
                         return Ok(false);
                     }
-                    Startup::Session => break,
+                    StartupMessage::SessionStart => break,
                 }
             } else if self.more().await? != More::Bytes {
                 return Ok(false);
@@ -214,13 +219,12 @@
         if !room {
             self.frontend.counters.crowded_out.add();
             let retry_after = self.frontend.full_retry_after.map(retry_after_field);
-            self.part("53300", "too many clients", retry_after.as_deref()).await?;
+            self.part(SqlState::TOO_MANY_CONNECTIONS, "too many clients", retry_after.as_deref()).await?;
             return Ok(false);
         }
         self.stage = Stage::Silent;
         let mut out = Vec::with_capacity(256);
-        let BackendKey { process, secret } = self.session.id;
-        write::welcome(&mut out, process, secret);
+        write::session_start(&mut out, self.session.id);
         self.send(&[&out]).await?;
         Ok(true)
     }
@@ -229,7 +233,7 @@
         let mut skipping = false;
         let mut out = Vec::new();
         loop {
-            let Some(message) = pg::message(self.buffer.data())? else {
+            let Some(message) = protocol::parse_frontend_message(self.buffer.data())? else {
                 match self.ahead.next() {
                     PassedOver::None | PassedOver::Begun => {
                         if let More::Ended(by) = self.more().await? {
@@ -254,7 +258,7 @@
                 Command::Answered => {
                     skipping &= tag != b'S';
                     if matches!(tag, b'Q' | b'S') {
-                        write::ready(&mut out);
+                        write::ready_for_query(&mut out);
                     }
                     self.send(&[&out]).await?;
                 }
@@ -265,10 +269,10 @@
                         self.part(code, &words, None).await?;
                         return Ok(EndedBy::Client);
                     }
-                    write::error(&mut out, Severity::Error, code, &words, None);
+                    write::error_response(&mut out, Severity::Error, code, &words, None);
                     skipping = tag != b'Q';
                     if !skipping {
-                        write::ready(&mut out);
+                        write::ready_for_query(&mut out);
                     }
                     self.send(&[&out]).await?;
                     let rest = async {
@@ -308,8 +312,14 @@
             let mut out = Vec::new();
             for _ in 0..count.min(REFUSALS) {
                 self.frontend.counters.rejected.add();
-                write::error(&mut out, Severity::Error, "53300", "too many commands sent ahead", None);
-                write::ready(&mut out);
+                write::error_response(
+                    &mut out,
+                    Severity::Error,
+                    SqlState::TOO_MANY_CONNECTIONS,
+                    "too many commands sent ahead",
+                    None,
+                );
+                write::ready_for_query(&mut out);
             }
             self.send(&[&out]).await?;
             count = count.saturating_sub(REFUSALS);
@@ -326,7 +336,7 @@
         if between && frontend.life.ending.is_up() {
             return Ok(More::Ended(EndedBy::Pooler));
         }
-        buffer.rest();
+        buffer.shrink_if_empty();
         // The first bytes of a command that has begun came just now; they don't grant more time again.
         let limit = match *stage {
             Stage::Known if between => None,
@@ -362,41 +372,50 @@
 
     /// Reads the command at the front of the buffer and uses it up.
     fn command(&mut self, size: usize, out: &mut Vec<u8>) -> Result<Command, ClientError> {
-        let Some(message) = pg::message(self.buffer.data())? else { return Ok(Command::End) };
+        let Some(message) = protocol::parse_frontend_message(self.buffer.data())? else {
+            return Ok(Command::End);
+        };
         let mut rejected = None;
         match message.tag {
             b'Q' => {
-                let statement = pg::query_text(message.body)?;
-                match pg::request(statement) {
-                    Ok(Asks::Request(comment)) => {
+                let statement = protocol::parse_query(message.body)?;
+                match protocol::classify_statement(statement) {
+                    Ok(StatementKind::Request(comment)) => {
                         // What waits behind others is not taken late: its client counts from when it sent it.
-                        let waited = self.buffer.arrived(size).map_or(Duration::ZERO, |at| at.elapsed());
+                        let waited = self.buffer.arrival_time(size).map_or(Duration::ZERO, |at| at.elapsed());
                         let asked = self.frontend.asked(statement, &comment, waited);
-                        let open = OpenId::enter(self.frontend, comment.id);
+                        let open = OpenId::enter(self.frontend, comment.request_id);
                         if let (Some(asked), Some(open)) = (asked, open) {
-                            let wait = comment.wait_at.clone();
+                            let wait = comment.timeout_digits.clone();
                             let (bytes, at) = self.buffer.detach(size);
                             let whole = at.start + 5..at.end;
                             let wait = wait.start + whole.start..wait.end + whole.start;
                             return Ok(Command::Request(asked.with(Statement { bytes, whole, wait }), open));
                         }
-                        rejected = Some(("42601", "no class of this site, or an id in use".to_owned()));
+                        rejected = Some((
+                            SqlState::SYNTAX_ERROR,
+                            "no class of this site, or an id in use".to_owned(),
+                        ));
                     }
-                    Ok(Asks::Nothing) => write::empty_query(out),
-                    Ok(Asks::Session(command)) => write::complete(out, command),
-                    Ok(Asks::Unknown) => {
-                        rejected = Some(("0A000", "only requests with their comment are routed".to_owned()));
+                    Ok(StatementKind::Empty) => write::empty_query_response(out),
+                    Ok(StatementKind::SessionCommand(command)) => write::command_complete(out, command),
+                    Ok(StatementKind::Unsupported) => {
+                        rejected = Some((
+                            SqlState::FEATURE_NOT_SUPPORTED,
+                            "only requests with their comment are routed".to_owned(),
+                        ));
                     }
-                    Err(error) => rejected = Some(("42601", error.to_string())),
+                    Err(error) => rejected = Some((SqlState::SYNTAX_ERROR, error.to_string())),
                 }
             }
             b'X' => return Ok(Command::End),
             b'S' => {}
             b'P' | b'B' | b'E' | b'D' | b'C' | b'H' | b'F' => {
-                rejected = Some(("0A000", "only simple queries are spoken here".to_owned()));
+                rejected =
+                    Some((SqlState::FEATURE_NOT_SUPPORTED, "only simple queries are spoken here".to_owned()));
             }
             b'd' | b'c' | b'f' => {}
-            _ => return Err(PgError::Malformed("message type").into()),
+            _ => return Err(ProtocolError::Malformed("message type").into()),
         }
         self.buffer.consume(size);
         Ok(rejected.map_or(Command::Answered, |(code, words)| Command::Rejected(code, words)))
@@ -435,7 +454,7 @@
         if let Some(at) = in_doubt {
             frontend.doubts.add(id, class, Some(at.clone()), frontend.driver.clock.now());
         }
-        self.buffer.give_back(asked.query.bytes);
+        self.buffer.reuse(asked.query.bytes);
         self.ahead.kept(self.buffer.data().len());
         self.answer(answer, out).await
     }
@@ -446,22 +465,24 @@
         let severity = if ends { Severity::Fatal } else { Severity::Error };
         let (code, words, detail) = match answer {
             Final::Served(reply) => {
-                write::ready(out);
+                write::ready_for_query(out);
                 let pieces: Vec<&[u8]> = reply.pieces().chain([out.as_slice()]).collect();
                 self.send(&pieces).await?;
                 return Ok(true);
             }
-            Final::Refused(retry_after) => ("53300", REFUSED, retry_after.map(retry_after_field)),
+            Final::Refused(retry_after) => {
+                (SqlState::TOO_MANY_CONNECTIONS, REFUSED, retry_after.map(retry_after_field))
+            }
             // It may have closed its own side only, and listen.
-            Final::Gone { at: None } => ("53300", REFUSED, None),
+            Final::Gone { at: None } => (SqlState::TOO_MANY_CONNECTIONS, REFUSED, None),
             Final::Failed { .. } | Final::Gone { .. } => {
-                ("08007", "no answer; it may have been carried out", None)
+                (SqlState::TRANSACTION_RESOLUTION_UNKNOWN, "no answer; it may have been carried out", None)
             }
-            Final::Cancelled { .. } => ("57014", "canceled by its client", None),
+            Final::Cancelled { .. } => (SqlState::QUERY_CANCELED, "canceled by its client", None),
         };
-        write::error(out, severity, code, words, detail.as_deref());
+        write::error_response(out, severity, code, words, detail.as_deref());
         if !ends {
-            write::ready(out);
+            write::ready_for_query(out);
         }
         self.send(&[out]).await?;
         Ok(!ends)
@@ -496,13 +517,18 @@
 
 impl Frontend {
     /// The request that a statement makes that came so long ago; `None` if its class is unknown.
-    fn asked(&self, statement: &str, comment: &pg::Comment<'_>, waited: Duration) -> Option<Asked<()>> {
+    fn asked(
+        &self,
+        statement: &str,
+        comment: &protocol::RequestComment<'_>,
+        waited: Duration,
+    ) -> Option<Asked<()>> {
         let at = self.classes.iter().position(|(name, _)| name == comment.class)?;
         let span = |time: Duration| TimeDelta(i64::try_from(time.as_micros()).unwrap_or(i64::MAX));
         let longest = span(self.longest_deadline);
         let keyed =
             matches!(self.classes[at].1, Operation::Write | Operation::Read(Consistency::ReadYourWrites));
-        let session = pg::key(statement).filter(|_| keyed).map(|key| {
+        let session = protocol::first_quoted_literal(statement).filter(|_| keyed).map(|key| {
             let mut hasher = DefaultHasher::new();
             key.hash(&mut hasher);
             SessionKey(hasher.finish())
@@ -510,10 +536,10 @@
         Some(Asked {
             class: ClassId(at),
             session,
-            group: GroupId(comment.cluster),
+            group: GroupId(comment.group),
             deadline: self.driver.clock.now() - span(waited)
-                + TimeDelta((comment.wait_ms * 1_000.0) as i64).min(longest),
-            last_write: comment.after_ms.map(|ms| Timestamp((ms * 1_000.0) as i64)),
+                + TimeDelta((comment.timeout_ms * 1_000.0) as i64).min(longest),
+            last_write: comment.last_write_ms.map(|ms| Timestamp((ms * 1_000.0) as i64)),
             query: (),
         })
     }
--- a/crates/proxy/src/client/session_keys.rs
+++ b/crates/proxy/src/client/session_keys.rs
@@ -1,6 +1,6 @@
 //! The sessions of clients, by the keys with which these can cancel what they ask.
 
-use crate::protocol::BackendKey;
+use crate::protocol::BackendKeyData;
 use event_listener::Event as Bell;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 pub(crate) struct Sessions {
     /// Makes secrets that nobody can guess.
     secrets: RandomState,
-    open: RefCell<HashMap<BackendKey, Rc<Bell>>>,
+    open: RefCell<HashMap<BackendKeyData, Rc<Bell>>>,
 }
 
 impl Sessions {
@@ -20,14 +20,14 @@
     pub(crate) fn enter(&self, number: u64) -> Session<'_> {
         let [.., process] = halves(number);
         let [secret, ..] = halves(self.secrets.hash_one(number));
-        let id = BackendKey { process, secret };
+        let id = BackendKeyData { process_id: process, secret_key: secret };
         let cancelled = Rc::new(Bell::new());
         self.open.borrow_mut().insert(id, cancelled.clone());
         Session { sessions: self, id, cancelled }
     }
 
     /// Cancels what a session asks at the moment, if it asks anything.
-    pub(crate) fn cancel(&self, id: BackendKey) {
+    pub(crate) fn cancel(&self, id: BackendKeyData) {
         if let Some(bell) = self.open.borrow().get(&id) {
             bell.notify(usize::MAX);
         }
@@ -43,7 +43,7 @@
 /// A client's session; it can be cancelled until it is dropped.
 pub(crate) struct Session<'a> {
     sessions: &'a Sessions,
-    pub(crate) id: BackendKey,
+    pub(crate) id: BackendKeyData,
     pub(crate) cancelled: Rc<Bell>,
 }
 
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -225,7 +225,7 @@
                 node.take(&list, false);
             }
         }
-        buffer.rest();
+        buffer.shrink_if_empty();
         if bounded(buffer.fill(&stream)).await? == 0 {
             return Ok(());
         }
--- a/crates/proxy/src/protocol/frontend.rs
+++ b/crates/proxy/src/protocol/frontend.rs
@@ -1,66 +1,83 @@
-//! What a client sends.
+//! The messages that a client sends.
 
-use super::{LONGEST_STARTUP, PgError, length, text};
+use super::message::{self, LENGTH_SIZE};
+use super::{MAX_FRONTEND_MESSAGE_SIZE, MAX_STARTUP_MESSAGE_SIZE, Message, ProtocolError};
 
-/// The key of a session, as it is told at its start (BackendKeyData).
+/// The major protocol version that is spoken.
+const PROTOCOL_MAJOR_VERSION: u16 = 3;
+/// In place of a major version: the minor version is a request code.
+const REQUEST_CODE_MARKER: u16 = 1234;
+const CANCEL_REQUEST_CODE: u16 = 5678;
+const SSL_REQUEST_CODE: u16 = 5679;
+const GSSENC_REQUEST_CODE: u16 = 5680;
+
+/// The key of a session as the server announces it in BackendKeyData, and a client repeats it in a CancelRequest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct BackendKey {
-    /// Which one it is.
-    pub process: u32,
-    /// What only its client knows.
-    pub secret: u32,
+pub struct BackendKeyData {
+    /// Identifies the session.
+    pub process_id: u32,
+    /// The secret that only the session's client knows.
+    pub secret_key: u32,
 }
 
-/// The message that opens a connection.
+/// A message that opens a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Startup {
-    /// A wish for TLS or GSS encryption, answered with one byte; another startup message follows.
-    Encryption,
-    /// A request to cancel what the session with this key asks at the moment; it gets no answer.
-    Cancel(BackendKey),
-    /// A session begins.
-    Session,
+pub enum StartupMessage {
+    /// SSLRequest or GSSENCRequest: answered with one byte, after which another startup message follows.
+    EncryptionRequest,
+    /// CancelRequest: cancels the query that the session with this key has in flight; it gets no response.
+    CancelRequest(BackendKeyData),
+    /// StartupMessage: a session begins.
+    SessionStart,
 }
 
-const SPECIAL: u16 = 1234;
-const CANCEL: u16 = 5678;
-const TLS: u16 = 5679;
-const GSS: u16 = 5680;
+/// Parses the message at the front of `data`; `None` while it is incomplete.
+///
+/// # Errors
+///
+/// When the length is impossible or over [`MAX_FRONTEND_MESSAGE_SIZE`].
+pub fn parse_frontend_message(data: &[u8]) -> Result<Option<Message<'_>>, ProtocolError> {
+    message::parse_message(data, MAX_FRONTEND_MESSAGE_SIZE)
+}
 
-/// The startup message in `data` and its size; `None` while it is not all there.
+/// Parses the startup message at the front of `data` and gives its size; `None` while it is incomplete.
 ///
 /// # Errors
 ///
 /// When its length or version is impossible.
-pub fn startup(data: &[u8]) -> Result<Option<(Startup, usize)>, PgError> {
-    let Some(size) = length(data, LONGEST_STARTUP)? else { return Ok(None) };
-    let Some(body) = data.get(4..size) else { return Ok(None) };
+pub fn parse_startup_message(data: &[u8]) -> Result<Option<(StartupMessage, usize)>, ProtocolError> {
+    let Some(size) = message::parse_length(data, MAX_STARTUP_MESSAGE_SIZE)? else { return Ok(None) };
+    let Some(body) = data.get(LENGTH_SIZE..size) else { return Ok(None) };
     let Some(&[a, b, c, d]) = body.first_chunk::<4>() else {
-        return Err(PgError::Malformed("startup message"));
+        return Err(ProtocolError::Malformed("startup message"));
     };
-    let kind = match (u16::from_be_bytes([a, b]), u16::from_be_bytes([c, d])) {
-        (SPECIAL, CANCEL) => {
-            let &[_, _, _, _, p, q, r, s, t, u, v, w] = body else {
-                return Err(PgError::Malformed("cancel request"));
-            };
-            let (process, secret) = (u32::from_be_bytes([p, q, r, s]), u32::from_be_bytes([t, u, v, w]));
-            Startup::Cancel(BackendKey { process, secret })
+    let startup = match (u16::from_be_bytes([a, b]), u16::from_be_bytes([c, d])) {
+        (REQUEST_CODE_MARKER, CANCEL_REQUEST_CODE) => {
+            StartupMessage::CancelRequest(parse_cancel_request(body)?)
         }
-        (SPECIAL, TLS | GSS) => Startup::Encryption,
-        (3, _) => Startup::Session,
-        (major, minor) => return Err(PgError::Version(major, minor)),
+        (REQUEST_CODE_MARKER, SSL_REQUEST_CODE | GSSENC_REQUEST_CODE) => StartupMessage::EncryptionRequest,
+        (PROTOCOL_MAJOR_VERSION, _) => StartupMessage::SessionStart,
+        (major, minor) => return Err(ProtocolError::UnsupportedVersion { major, minor }),
+    };
+    Ok(Some((startup, size)))
+}
+
+/// Parses the body of a CancelRequest, which begins with the request code.
+fn parse_cancel_request(body: &[u8]) -> Result<BackendKeyData, ProtocolError> {
+    let &[_, _, _, _, p, q, r, s, t, u, v, w] = body else {
+        return Err(ProtocolError::Malformed("cancel request"));
     };
-    Ok(Some((kind, size)))
+    Ok(BackendKeyData {
+        process_id: u32::from_be_bytes([p, q, r, s]),
+        secret_key: u32::from_be_bytes([t, u, v, w]),
+    })
 }
 
-/// The statement of a simple query.
+/// Parses the body of a Query and gives its statement.
 ///
 /// # Errors
 ///
-/// When it is no text with a zero byte at its end.
-pub fn query_text(body: &[u8]) -> Result<&str, PgError> {
-    match text(body, "query")? {
-        (statement, []) => Ok(statement),
-        _ => Err(PgError::Malformed("query")),
-    }
+/// When it is no zero-terminated string.
+pub fn parse_query(body: &[u8]) -> Result<&str, ProtocolError> {
+    message::parse_c_string(body, "query")
 }
--- /dev/null
+++ b/crates/proxy/src/protocol/statement.rs
@@ -0,0 +1,169 @@
+//! The statement of a Query: the comment that describes a request, and the quoted key.
+
+use super::ProtocolError;
+use std::ops::Range;
+
+/// The longest request id, in bytes.
+const MAX_REQUEST_ID_LENGTH: usize = 64;
+/// Timeouts are shorter than this, in milliseconds.
+const TIMEOUT_LIMIT_MILLIS: f64 = 1e9;
+/// Commands that change only the session's own state.
+const SESSION_COMMANDS: [&str; 3] = ["SET", "RESET", "DISCARD"];
+
+/// The keys of a request's comment.
+mod comment_key {
+    pub(super) const REQUEST_ID: &str = "id";
+    pub(super) const CLASS: &str = "c";
+    pub(super) const TIMEOUT: &str = "d";
+    pub(super) const GROUP: &str = "cluster";
+    pub(super) const LAST_WRITE: &str = "after";
+}
+
+const MALFORMED_COMMENT: ProtocolError = ProtocolError::Malformed("request comment");
+
+/// The comment of a request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RequestComment<'a> {
+    /// The client's id of the request.
+    pub request_id: &'a str,
+    /// The name of the request's class.
+    pub class: &'a str,
+    /// How long the client waits for a response, in milliseconds.
+    pub timeout_ms: f64,
+    /// Where the timeout's digits are in the statement: they are rewritten for each attempt.
+    pub timeout_digits: Range<usize>,
+    /// The number of the group of endpoints.
+    pub group: i64,
+    /// When the session last committed, as a Unix time in milliseconds; only in deployments whose clients say so.
+    pub last_write_ms: Option<f64>,
+}
+
+/// What a statement asks of the pooler.
+#[derive(Clone, Debug, PartialEq)]
+pub enum StatementKind<'a> {
+    /// An empty statement.
+    Empty,
+    /// A change of the session's own state, which has no effect here; the command tag of its response.
+    SessionCommand(&'static str),
+    /// A request to route.
+    Request(RequestComment<'a>),
+    /// Anything else, which is not supported.
+    Unsupported,
+}
+
+/// Tells what kind of statement it is.
+///
+/// # Errors
+///
+/// When it has the comment of a request, and a part of the comment is missing, repeated or malformed.
+pub fn classify_statement(statement: &str) -> Result<StatementKind<'_>, ProtocolError> {
+    let trimmed = statement.trim_matches(is_padding);
+    if trimmed.is_empty() {
+        return Ok(StatementKind::Empty);
+    }
+    if let Some(range) = trailing_comment(statement) {
+        return parse_request_comment(statement, range).map(StatementKind::Request);
+    }
+    let keyword = trimmed.split(|c: char| !c.is_ascii_alphabetic()).next().unwrap_or("");
+    let command = SESSION_COMMANDS.into_iter().find(|command| keyword.eq_ignore_ascii_case(command));
+    Ok(command.map_or(StatementKind::Unsupported, StatementKind::SessionCommand))
+}
+
+/// Whether a character around a statement has no meaning.
+fn is_padding(character: char) -> bool {
+    character.is_ascii_whitespace() || character == ';'
+}
+
+/// Where the text of the comment at the end of a statement is, its delimiters left out.
+fn trailing_comment(statement: &str) -> Option<Range<usize>> {
+    let end = statement.trim_end_matches(is_padding).strip_suffix("*/")?.len();
+    let start = statement[..end].rfind("/*")? + 2;
+    Some(start..end)
+}
+
+/// The values of a comment by their keys, not parsed yet.
+#[derive(Default)]
+struct CommentFields<'a> {
+    request_id: Option<&'a str>,
+    class: Option<&'a str>,
+    timeout: Option<(&'a str, Range<usize>)>,
+    group: Option<&'a str>,
+    last_write: Option<&'a str>,
+}
+
+impl<'a> CommentFields<'a> {
+    /// Splits the comment in this range of the statement into its fields; unknown keys are ignored.
+    fn split(statement: &'a str, range: Range<usize>) -> Result<Self, ProtocolError> {
+        let mut fields = Self::default();
+        let mut pair_start = range.start;
+        for pair in statement[range].split(',') {
+            let (key, value) = pair.split_once('=').ok_or(MALFORMED_COMMENT)?;
+            let leading_space = value.len() - value.trim_start().len();
+            let value_start = pair_start + key.len() + 1 + leading_space;
+            pair_start += pair.len() + 1;
+            let value = value.trim();
+            let is_repeated = match key.trim() {
+                comment_key::REQUEST_ID => fields.request_id.replace(value).is_some(),
+                comment_key::CLASS => fields.class.replace(value).is_some(),
+                comment_key::TIMEOUT => {
+                    fields.timeout.replace((value, value_start..value_start + value.len())).is_some()
+                }
+                comment_key::GROUP => fields.group.replace(value).is_some(),
+                comment_key::LAST_WRITE => fields.last_write.replace(value).is_some(),
+                _ => false,
+            };
+            // A server might go by the other one of two values.
+            if is_repeated {
+                return Err(MALFORMED_COMMENT);
+            }
+        }
+        Ok(fields)
+    }
+}
+
+fn parse_request_comment(statement: &str, range: Range<usize>) -> Result<RequestComment<'_>, ProtocolError> {
+    let fields = CommentFields::split(statement, range)?;
+    let (timeout, timeout_digits) = fields.timeout.ok_or(MALFORMED_COMMENT)?;
+    let timeout_ms = parse_timeout(timeout)?;
+    let group = fields.group.map_or(Ok(0), str::parse).map_err(|_| MALFORMED_COMMENT)?;
+    let last_write_ms = fields.last_write.map(parse_last_write).transpose()?;
+    let request_id = fields.request_id.filter(|id| is_request_id(id)).ok_or(MALFORMED_COMMENT)?;
+    let class = fields.class.ok_or(MALFORMED_COMMENT)?;
+    Ok(RequestComment { request_id, class, timeout_ms, timeout_digits, group, last_write_ms })
+}
+
+fn parse_timeout(text: &str) -> Result<f64, ProtocolError> {
+    // Signs, exponents, "inf" and "nan" are turned down: the standard library would parse them all.
+    if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
+        return Err(MALFORMED_COMMENT);
+    }
+    let millis = text.parse().map_err(|_| MALFORMED_COMMENT)?;
+    if !(0.0..TIMEOUT_LIMIT_MILLIS).contains(&millis) {
+        return Err(MALFORMED_COMMENT);
+    }
+    Ok(millis)
+}
+
+fn parse_last_write(text: &str) -> Result<f64, ProtocolError> {
+    text.parse().ok().filter(|millis: &f64| millis.is_finite()).ok_or(MALFORMED_COMMENT)
+}
+
+fn is_request_id(id: &str) -> bool {
+    (1..=MAX_REQUEST_ID_LENGTH).contains(&id.len())
+        && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
+}
+
+/// The first quoted string literal of a statement, without its quotes; a doubled quote in it stays doubled.
+#[must_use]
+pub fn first_quoted_literal(statement: &str) -> Option<&str> {
+    let start = statement.find('\'')? + 1;
+    let rest = &statement[start..];
+    let mut quotes = rest.match_indices('\'').map(|(position, _)| position);
+    while let Some(position) = quotes.next() {
+        if !rest[position + 1..].starts_with('\'') {
+            return Some(&rest[..position]);
+        }
+        quotes.next();
+    }
+    None
+}
--- a/crates/proxy/src/protocol/write.rs
+++ b/crates/proxy/src/protocol/write.rs
@@ -1,105 +1,148 @@
-//! Messages that the pooler itself writes, appended to a buffer.
+//! The messages that the pooler itself sends, appended to a buffer.
 
-/// How grave an error is.
+use super::backend::error_field;
+use super::message::{HEADER_SIZE, LENGTH_SIZE};
+use super::{BackendKeyData, SqlState, backend_tag, frontend_tag};
+
+/// Version 3.0, as a StartupMessage has it.
+const PROTOCOL_VERSION: u32 = 3 << 16;
+/// The transaction status in ReadyForQuery: not in a transaction.
+const TRANSACTION_IDLE: u8 = b'I';
+/// The authentication type of AuthenticationOk.
+const AUTHENTICATION_OK: u32 = 0;
+
+/// The parameters that are reported to a client when its session begins.
+const SESSION_PARAMETERS: [(&str, &str); 6] = [
+    ("server_version", "15.0 (linnetdeal)"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("DateStyle", "ISO, MDY"),
+    ("integer_datetimes", "on"),
+    ("standard_conforming_strings", "on"),
+];
+
+/// The severity of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
     /// The query has failed.
     Error,
-    /// The connection ends.
+    /// The connection is closed.
     Fatal,
 }
 
-/// Appends a message whose body `fill` writes.
-fn message(out: &mut Vec<u8>, tag: u8, fill: impl FnOnce(&mut Vec<u8>)) {
-    out.push(tag);
-    let at = out.len();
-    out.extend_from_slice(&[0; 4]);
-    fill(out);
-    let length = u32::try_from(out.len() - at).unwrap_or(u32::MAX);
-    out[at..at + 4].copy_from_slice(&length.to_be_bytes());
+impl Severity {
+    const fn name(self) -> &'static str {
+        match self {
+            Self::Error => "ERROR",
+            Self::Fatal => "FATAL",
+        }
+    }
 }
 
-fn text(out: &mut Vec<u8>, text: &str) {
-    out.extend(text.bytes().filter(|byte| *byte != 0));
-    out.push(0);
+/// Appends the response to a StartupMessage: AuthenticationOk, ParameterStatus, BackendKeyData and ReadyForQuery.
+pub fn session_start(out: &mut Vec<u8>, key: BackendKeyData) {
+    append_message(out, backend_tag::AUTHENTICATION, |out| {
+        out.extend_from_slice(&AUTHENTICATION_OK.to_be_bytes());
+    });
+    for (name, value) in SESSION_PARAMETERS {
+        parameter_status(out, name, value);
+    }
+    append_message(out, backend_tag::BACKEND_KEY_DATA, |out| {
+        out.extend_from_slice(&key.process_id.to_be_bytes());
+        out.extend_from_slice(&key.secret_key.to_be_bytes());
+    });
+    ready_for_query(out);
 }
 
-/// The answer to a startup message: welcome, the key to cancel with, and ready.
-pub fn welcome(out: &mut Vec<u8>, process: u32, secret: u32) {
-    message(out, b'R', |out| out.extend_from_slice(&0_u32.to_be_bytes()));
-    let parameters = [
-        ("server_version", "15.0 (linnetdeal)"),
-        ("server_encoding", "UTF8"),
-        ("client_encoding", "UTF8"),
-        ("DateStyle", "ISO, MDY"),
-        ("integer_datetimes", "on"),
-        ("standard_conforming_strings", "on"),
-    ];
-    for (name, value) in parameters {
-        message(out, b'S', |out| {
-            text(out, name);
-            text(out, value);
-        });
-    }
-    message(out, b'K', |out| {
-        out.extend_from_slice(&process.to_be_bytes());
-        out.extend_from_slice(&secret.to_be_bytes());
+/// Appends a ParameterStatus.
+fn parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
+    append_message(out, backend_tag::PARAMETER_STATUS, |out| {
+        append_c_string(out, name.as_bytes());
+        append_c_string(out, value.as_bytes());
     });
-    ready(out);
 }
 
-/// ReadyForQuery, outside a transaction.
-pub fn ready(out: &mut Vec<u8>) {
-    message(out, b'Z', |out| out.push(b'I'));
+/// Appends a ReadyForQuery outside a transaction.
+pub fn ready_for_query(out: &mut Vec<u8>) {
+    append_message(out, backend_tag::READY_FOR_QUERY, |out| out.push(TRANSACTION_IDLE));
 }
 
-/// EmptyQueryResponse.
-pub fn empty_query(out: &mut Vec<u8>) {
-    message(out, b'I', |_| {});
+/// Appends an EmptyQueryResponse.
+pub fn empty_query_response(out: &mut Vec<u8>) {
+    append_message(out, backend_tag::EMPTY_QUERY_RESPONSE, |_| {});
 }
 
-/// CommandComplete.
-pub fn complete(out: &mut Vec<u8>, tag: &str) {
-    message(out, b'C', |out| text(out, tag));
+/// Appends a CommandComplete with the command's tag.
+pub fn command_complete(out: &mut Vec<u8>, command_tag: &str) {
+    append_message(out, backend_tag::COMMAND_COMPLETE, |out| append_c_string(out, command_tag.as_bytes()));
 }
 
-/// ErrorResponse; `detail` is its field D.
-pub fn error(out: &mut Vec<u8>, severity: Severity, code: &str, words: &str, detail: Option<&str>) {
-    let severity = if severity == Severity::Fatal { "FATAL" } else { "ERROR" };
-    message(out, b'E', |out| {
-        for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', words)] {
+/// Appends an ErrorResponse.
+pub fn error_response(
+    out: &mut Vec<u8>,
+    severity: Severity,
+    sql_state: SqlState,
+    message: &str,
+    detail: Option<&str>,
+) {
+    let severity = severity.name().as_bytes();
+    let fields = [
+        (error_field::SEVERITY, severity),
+        (error_field::SEVERITY_NON_LOCALIZED, severity),
+        (error_field::CODE, &sql_state.0),
+        (error_field::MESSAGE, message.as_bytes()),
+    ];
+    let detail = detail.map(|detail| (error_field::DETAIL, detail.as_bytes()));
+    append_message(out, backend_tag::ERROR_RESPONSE, |out| {
+        for (field, value) in fields.into_iter().chain(detail) {
             out.push(field);
-            text(out, value);
-        }
-        if let Some(detail) = detail {
-            out.push(b'D');
-            text(out, detail);
+            append_c_string(out, value);
         }
         out.push(0);
     });
 }
 
-/// The startup message of a connection to a server.
-pub fn startup(out: &mut Vec<u8>, user: &str, database: &str) {
-    let at = out.len();
-    out.extend_from_slice(&[0; 4]);
-    out.extend_from_slice(&(3_u32 << 16).to_be_bytes());
-    for word in ["user", user, "database", database] {
-        text(out, word);
-    }
-    out.push(0);
-    let length = u32::try_from(out.len() - at).unwrap_or(u32::MAX);
-    out[at..at + 4].copy_from_slice(&length.to_be_bytes());
+/// Appends the StartupMessage of a connection to a server.
+pub fn startup_message(out: &mut Vec<u8>, user: &str, database: &str) {
+    append_with_length(out, |out| {
+        out.extend_from_slice(&PROTOCOL_VERSION.to_be_bytes());
+        for word in ["user", user, "database", database] {
+            append_c_string(out, word.as_bytes());
+        }
+        out.push(0);
+    });
 }
 
-/// A simple query.
+/// Appends a Query.
 pub fn query(out: &mut Vec<u8>, statement: &str) {
-    message(out, b'Q', |out| text(out, statement));
+    append_message(out, frontend_tag::QUERY, |out| append_c_string(out, statement.as_bytes()));
 }
 
-/// The head of a simple query whose statement, of so many bytes with its zero byte, is written after it.
+/// The header of a Query whose statement is written separately; `statement_size` includes its terminator.
 #[must_use]
-pub fn query_head(statement: usize) -> [u8; 5] {
-    let [a, b, c, d] = u32::try_from(statement + 4).unwrap_or(u32::MAX).to_be_bytes();
-    [b'Q', a, b, c, d]
+pub fn query_header(statement_size: usize) -> [u8; HEADER_SIZE] {
+    let length = u32::try_from(statement_size + LENGTH_SIZE).unwrap_or(u32::MAX);
+    let [a, b, c, d] = length.to_be_bytes();
+    [frontend_tag::QUERY, a, b, c, d]
+}
+
+/// Appends a message whose body `append_body` appends.
+fn append_message(out: &mut Vec<u8>, tag: u8, append_body: impl FnOnce(&mut Vec<u8>)) {
+    out.push(tag);
+    append_with_length(out, append_body);
+}
+
+/// Appends a length word, and a body that it counts together with itself.
+fn append_with_length(out: &mut Vec<u8>, append_body: impl FnOnce(&mut Vec<u8>)) {
+    let start = out.len();
+    out.extend_from_slice(&[0; LENGTH_SIZE]);
+    append_body(out);
+    let length = u32::try_from(out.len() - start).unwrap_or(u32::MAX);
+    out[start..start + LENGTH_SIZE].copy_from_slice(&length.to_be_bytes());
+}
+
+/// Appends a zero-terminated string; zero bytes inside it are left out.
+fn append_c_string(out: &mut Vec<u8>, string: &[u8]) {
+    out.extend(string.iter().filter(|byte| **byte != 0));
+    out.push(0);
 }
--- a/crates/proxy/src/server/pool.rs
+++ b/crates/proxy/src/server/pool.rs
@@ -4,7 +4,7 @@
 use crate::config::HostSettings;
 use crate::discovery::endpoint_directory::Members;
 use crate::metrics::Counters;
-use crate::protocol::{self as pg, Code, Notes, Part, PgError};
+use crate::protocol::{self, ProtocolError, ResponsePart, ServerStatus, SqlState};
 use crate::request::{Carrier, Ended, Sending};
 use crate::router_handle::Driver;
 use async_io::{Async, Timer};
@@ -30,7 +30,7 @@
 const SHORT_PAUSE: Duration = Duration::from_millis(20);
 
 /// More than this no answer takes up, notices and all.
-const LONGEST_ANSWER: usize = 2 * pg::LONGEST_VALUE;
+const LONGEST_ANSWER: usize = 2 * protocol::MAX_VALUE_SIZE;
 /// What a server sends too much comes just behind an answer, and must not be taken for the next: a connection
 /// rests for this long after one while there are others.
 const RESTED: Duration = Duration::from_millis(20);
@@ -126,9 +126,9 @@
         write_all(&self.stream, &[PING]).await?;
         let mut empty = false;
         loop {
-            while let Some(message) = pg::server_message(self.buffer.data())? {
+            while let Some(message) = protocol::parse_backend_message(self.buffer.data())? {
                 let (tag, size) = (message.tag, message.size);
-                let ready = tag == b'Z' && empty && pg::ready(message.body);
+                let ready = tag == b'Z' && empty && protocol::is_ready_for_query(message.body);
                 match tag {
                     b'I' if !empty => empty = true,
                     b'S' | b'N' if empty => {}
@@ -173,7 +173,7 @@
     /// The member is not to be sent anything new.
     Withdrawn,
     /// The server said no before the query.
-    Said(Code),
+    Said(SqlState),
 }
 
 impl From<io::Error> for Lost {
@@ -183,8 +183,8 @@
     }
 }
 
-impl From<PgError> for Lost {
-    fn from(_: PgError) -> Self {
+impl From<ProtocolError> for Lost {
+    fn from(_: ProtocolError) -> Self {
         Self::Broken
     }
 }
@@ -211,12 +211,12 @@
     async fn write(self, stream: &Async<TcpStream>, left: Duration) -> io::Result<()> {
         let Self::Statement(Statement { bytes, whole, wait }, _) = self else {
             let mut query = Vec::with_capacity(32);
-            pg::write::query(&mut query, "SHOW gauges");
+            protocol::write::query(&mut query, "SHOW gauges");
             return write_all(stream, &[&query]).await;
         };
         let digits = left.as_millis().max(1).to_string();
         let (before, after) = (&bytes[whole.start..wait.start], &bytes[wait.end..whole.end]);
-        let head = pg::write::query_head(before.len() + digits.len() + after.len());
+        let head = protocol::write::query_header(before.len() + digits.len() + after.len());
         write_all(stream, &[&head, before, digits.as_bytes(), after]).await
     }
 }
@@ -224,7 +224,7 @@
 /// What was read up to ReadyForQuery, or until the server ended the connection.
 struct Exchange {
     verdict: AttemptOutcome,
-    notes: Notes,
+    notes: ServerStatus,
     /// The answer's messages in the buffer.
     pieces: Vec<Range<usize>>,
     /// The row's value in the buffer.
@@ -282,7 +282,7 @@
         if !connection.buffer.data().is_empty() || !self.driver.accepts_new_work(member) {
             return;
         }
-        connection.buffer.rest();
+        connection.buffer.shrink_if_empty();
         connection.idle_since = Instant::now();
         self.idle.borrow_mut().entry(member.clone()).or_default().push_back(connection);
     }
@@ -361,14 +361,14 @@
         })?;
         stream.get_ref().set_nodelay(true)?;
         let mut hello = Vec::with_capacity(64);
-        pg::write::startup(&mut hello, USER, DATABASE);
+        protocol::write::startup_message(&mut hello, USER, DATABASE);
         write_all(&stream, &[&hello]).await?;
         let mut buffer = ReadBuffer::default();
         loop {
-            while let Some(message) = pg::server_message(buffer.data())? {
+            while let Some(message) = protocol::parse_backend_message(buffer.data())? {
                 let (tag, size) = (message.tag, message.size);
                 match tag {
-                    b'E' => return Err(Lost::Said(pg::error_fields(message.body)?.code)),
+                    b'E' => return Err(Lost::Said(protocol::parse_error_response(message.body)?.sql_state)),
                     b'R' if message.body != [0; 4] => return Err(Lost::Broken),
                     _ => {}
                 }
@@ -453,7 +453,7 @@
             Ok((mut connection, exchange)) => {
                 let value = exchange.value.and_then(|at| connection.buffer.data().get(at));
                 let text = value.and_then(|value| std::str::from_utf8(value).ok());
-                let report = text.and_then(|text| pg::report(text, &self.host.report));
+                let report = text.and_then(|text| protocol::parse_load_report(text, &self.host.report));
                 if exchange.ready {
                     connection.buffer.consume(exchange.size);
                     self.put_back(member, connection);
@@ -490,14 +490,19 @@
                 if ready {
                     self.put_back(member, connection);
                 }
-                Ended { verdict, note: notes.note(), report: notes.report(&self.host.report), reply }
+                Ended {
+                    verdict,
+                    note: notes.response_metadata(),
+                    report: notes.load_report(&self.host.report),
+                    reply,
+                }
             }
         }
     }
 }
 
 /// What a server's error in answer to a statement tells: only these codes prove that nothing ran.
-fn statement_verdict(code: Code) -> AttemptOutcome {
+fn statement_verdict(code: SqlState) -> AttemptOutcome {
     match &code.0 {
         b"53300" => AttemptOutcome::Rejected,
         b"25006" | b"72000" => AttemptOutcome::NotEligible,
@@ -506,7 +511,7 @@
 }
 
 /// What a server's error before any statement tells: nothing was sent, whatever the code.
-fn connection_verdict(code: Code) -> AttemptOutcome {
+fn connection_verdict(code: SqlState) -> AttemptOutcome {
     match &code.0 {
         b"53300" | b"57P03" => AttemptOutcome::Rejected,
         _ => AttemptOutcome::ConnectionLostBeforeSend,
@@ -516,15 +521,15 @@
 /// Reads one answer up to ReadyForQuery; what was whole before the connection ended counts. A spoilt one may
 /// have run, like one that never came.
 async fn read_answer(stream: &Async<TcpStream>, buffer: &mut ReadBuffer) -> Result<Exchange, Lost> {
-    let mut answer = pg::Answer::default();
+    let mut answer = protocol::QueryResponse::default();
     let mut pieces: Vec<Range<usize>> = Vec::new();
     let (mut value, mut at, mut ready) = (None, 0, false);
     'reading: loop {
-        while let Some(message) = pg::server_message(&buffer.data()[at..])? {
+        while let Some(message) = protocol::parse_backend_message(&buffer.data()[at..])? {
             let piece = at..at + message.size;
             at = piece.end;
-            match answer.take(&message)? {
-                Part::Value(size) => {
+            match answer.accept(&message)? {
+                ResponsePart::Forward { value_size: size } => {
                     if message.tag == b'D' {
                         value = Some(at - size..at);
                     }
@@ -533,9 +538,9 @@
                         None => pieces.push(piece),
                     }
                 }
-                Part::Aside => {}
-                Part::Fatal => break 'reading,
-                Part::Ready => {
+                ResponsePart::Ignore => {}
+                ResponsePart::Fatal => break 'reading,
+                ResponsePart::Ready => {
                     ready = true;
                     break 'reading;
                 }
@@ -547,10 +552,10 @@
         }
         match buffer.fill(stream).await {
             Ok(1..) => {}
-            Ok(0) | Err(_) if answer.whole() => break,
+            Ok(0) | Err(_) if answer.is_complete() => break,
             _ => return Err(Lost::Broken),
         }
     }
-    let verdict = answer.failed().map_or(AttemptOutcome::Ok, statement_verdict);
-    Ok(Exchange { verdict, notes: answer.into_notes(), pieces, value, size: at, ready })
+    let verdict = answer.error_code().map_or(AttemptOutcome::Ok, statement_verdict);
+    Ok(Exchange { verdict, notes: answer.into_server_status(), pieces, value, size: at, ready })
 }
--- a/crates/service-registry/src/client.rs
+++ b/crates/service-registry/src/client.rs
@@ -12,7 +12,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, Uri};
-use pooler_interrupted_io::Resuming;
+use pooler_interrupted_io::RetryInterrupted;
 use pooler_routing::TimeDelta;
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -293,7 +293,7 @@
 async fn connect(tls: Option<&TlsConnector>, server: &Server) -> Result<Connection, CallError> {
     let stream = Async::<TcpStream>::connect(server.address).await.map_err(CallError::Connect)?;
     stream.get_ref().set_nodelay(true).map_err(CallError::Connect)?;
-    let stream = Resuming(stream);
+    let stream = RetryInterrupted(stream);
     match tls.filter(|_| server.tls) {
         None => handshake(stream).await,
         Some(tls) => {
--- a/crates/testbed/src/boxes.rs
+++ b/crates/testbed/src/boxes.rs
@@ -2,7 +2,7 @@
 
 use crate::ledger::Ledger;
 use crate::{lock, say};
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, BackendKeyData, SqlState, write};
 use std::io::{Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
@@ -113,14 +113,14 @@
         loop {
             let mut out = Vec::new();
             if !greeted {
-                if let Ok(Some((_, size))) = pg::startup(&read) {
+                if let Ok(Some((_, size))) = protocol::parse_startup_message(&read) {
                     read.drain(..size);
-                    write::welcome(&mut out, 1, 1);
+                    write::session_start(&mut out, BackendKeyData { process_id: 1, secret_key: 1 });
                     greeted = true;
                 }
-            } else if let Ok(Some(message)) = pg::message(&read) {
+            } else if let Ok(Some(message)) = protocol::parse_frontend_message(&read) {
                 let (tag, size) = (message.tag, message.size);
-                let statement = pg::query_text(message.body).unwrap_or("").to_owned();
+                let statement = protocol::parse_query(message.body).unwrap_or("").to_owned();
                 read.drain(..size);
                 if tag != b'Q' {
                     return;
@@ -162,37 +162,43 @@
     ) {
         let primary = self.primary.load(Ordering::SeqCst);
         if statement.is_empty() {
-            write::empty_query(out);
-            write::ready(out);
+            write::empty_query_response(out);
+            write::ready_for_query(out);
             return;
         }
         if statement.starts_with("SHOW") {
             let (seconds, role) = (self.position(log) as f64 / 1_000.0, u8::from(primary));
             say::row(out, format!("x0={seconds:.3},x1={role}").as_bytes(), primary, self.position(log));
-            write::ready(out);
+            write::ready_for_query(out);
             return;
         }
         lock(ledger).sent(&self.name, first);
         let id = field(statement, "id").unwrap_or("");
         if statement.starts_with("INSERT") {
             if !primary {
-                write::error(out, write::Severity::Error, "25006", "read only", None);
+                write::error_response(
+                    out,
+                    write::Severity::Error,
+                    SqlState::READ_ONLY_SQL_TRANSACTION,
+                    "read only",
+                    None,
+                );
                 say::notes(out, primary, self.position(log));
-                write::ready(out);
+                write::ready_for_query(out);
                 return;
             }
             std::thread::sleep(work);
             lock(ledger).ran(id);
             let commit = log.commit();
             say::row(out, format!("{id} {commit}").as_bytes(), primary, commit);
-            write::ready(out);
+            write::ready_for_query(out);
             return;
         }
         // What a read sees is what the box has when the read begins.
         let position = self.position(log);
         std::thread::sleep(work);
         say::row(out, format!("{id} {position}").as_bytes(), primary, position);
-        write::ready(out);
+        write::ready_for_query(out);
     }
 }
 
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::ledger::{Ledger, Seen};
 use crate::lock;
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, write};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::io::{Read, Write};
@@ -150,7 +150,7 @@
             stream.set_nodelay(true)?;
             self.stream = Some(stream);
             self.read.clear();
-            write::startup(&mut out, "backend", "store");
+            write::startup_message(&mut out, "backend", "store");
             self.write(&out)?;
             self.answer(end)?;
         }
@@ -171,11 +171,11 @@
         let (mut how, mut value) = ("nothing".to_owned(), None);
         let mut bytes = [0; 16 * 1024];
         loop {
-            while let Some(message) = pg::server_message(&self.read).map_err(|_| bad())? {
+            while let Some(message) = protocol::parse_backend_message(&self.read).map_err(|_| bad())? {
                 let (tag, size) = (message.tag, message.size);
                 match tag {
                     b'D' => {
-                        let row = pg::row_value(message.body).map_err(|_| bad())?;
+                        let row = protocol::parse_data_row(message.body).map_err(|_| bad())?;
                         value = row.and_then(|row| String::from_utf8(row.to_vec()).ok());
                     }
                     b'C' => how = "served".to_owned(),
--- a/crates/testbed/src/family.rs
+++ b/crates/testbed/src/family.rs
@@ -4,7 +4,7 @@
 use crate::boxes::field;
 use crate::lock;
 use crate::say::{notes, row};
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, BackendKeyData, SqlState, write};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -241,12 +241,12 @@
             }
             let mut out = Vec::new();
             if !greeted {
-                if let Ok(Some((_, size))) = pg::startup(&read) {
+                if let Ok(Some((_, size))) = protocol::parse_startup_message(&read) {
                     if self.dies(at, Step::DuringDial) {
                         return self.end(at, &stream);
                     }
                     read.drain(..size);
-                    write::welcome(&mut out, 1, 1);
+                    write::session_start(&mut out, BackendKeyData { process_id: 1, secret_key: 1 });
                     greeted = true;
                 }
             } else if read.first() == Some(&b'Q')
@@ -256,9 +256,9 @@
                 return self.end(at, &stream);
             }
             if greeted && out.is_empty() {
-                if let Ok(Some(message)) = pg::message(&read) {
+                if let Ok(Some(message)) = protocol::parse_frontend_message(&read) {
                     let (tag, size) = (message.tag, message.size);
-                    let statement = pg::query_text(message.body).unwrap_or("").to_owned();
+                    let statement = protocol::parse_query(message.body).unwrap_or("").to_owned();
                     read.drain(..size);
                     if tag != b'Q' {
                         return;
@@ -290,8 +290,8 @@
     /// Answers a statement; `None` if the box dies with it, after what is in `out`.
     fn statement(&self, at: usize, statement: &str, out: &mut Vec<u8>) -> Option<()> {
         if statement.is_empty() {
-            write::empty_query(out);
-            write::ready(out);
+            write::empty_query_response(out);
+            write::ready_for_query(out);
             return Some(());
         }
         let (primary, draining, position) = {
@@ -302,21 +302,22 @@
             let role = u8::from(primary && !draining);
             let value = format!("x0={:.3},x1={role}", position as f64 / 1_000.0);
             row(out, value.as_bytes(), primary, position);
-            write::ready(out);
+            write::ready_for_query(out);
             return Some(());
         }
         let id = field(statement, "id").unwrap_or("").to_owned();
         if !statement.starts_with("INSERT") {
             std::thread::sleep(WORK);
             row(out, format!("{id} {position}").as_bytes(), primary, position);
-            write::ready(out);
+            write::ready_for_query(out);
             return Some(());
         }
         if draining || !primary {
-            let code = if draining { "53300" } else { "25006" };
-            write::error(out, write::Severity::Error, code, "not here", None);
+            let code =
+                if draining { SqlState::TOO_MANY_CONNECTIONS } else { SqlState::READ_ONLY_SQL_TRANSACTION };
+            write::error_response(out, write::Severity::Error, code, "not here", None);
             notes(out, primary, position);
-            write::ready(out);
+            write::ready_for_query(out);
             return Some(());
         }
         let dies = |step| self.dies(at, step);
@@ -349,7 +350,7 @@
         if dies(Step::BeforeReady) {
             return None;
         }
-        write::ready(out);
+        write::ready_for_query(out);
         Some(())
     }
 }
--- a/crates/testbed/src/say.rs
+++ b/crates/testbed/src/say.rs
@@ -23,6 +23,6 @@
     row.extend_from_slice(&u32::try_from(value.len()).unwrap_or(0).to_be_bytes());
     row.extend_from_slice(value);
     message(out, b'D', &row);
-    write::complete(out, "SELECT 1");
+    write::command_complete(out, "SELECT 1");
     notes(out, primary, position);
 }
