--- a/crates/proxy/src/client/accept.rs
+++ b/crates/proxy/src/client/accept.rs
@@ -1,122 +1,93 @@
-//! Clients are accepted within a budget of connections, and each has a task of its own.
+//! Accepting clients within the limits of their number; each session runs in a task of its own.
 
-use crate::client::connection_slots::{Rank, Slots};
-use crate::client::in_doubt_writes::Doubts;
-use crate::client::read_ahead::Shared;
-use crate::client::session::Client;
-use crate::client::session_keys::Sessions;
-use crate::lifecycle::stages::Life;
-use crate::metrics::Counters;
-use crate::router_handle::Driver;
-use crate::server::pool::Pool;
-use async_executor::LocalExecutor;
+use crate::client::connection_slots::{Admission, EvictionClass};
+use crate::client::context::ClientContext;
+use crate::client::session::ClientSession;
+use crate::server::pool::shortage;
 use async_io::{Async, Timer};
 use futures_lite::future::{or, poll_once, yield_now};
-use pooler_routing::*;
-use std::cell::RefCell;
-use std::collections::HashSet;
 use std::io;
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that wait to be accepted; a burst after a restart must not overflow it.
+/// The number of connections that may wait to be accepted; a burst after a restart must not overflow it.
 const BACKLOG: i32 = 1_024;
-/// How long accepting rests when descriptors have run out.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
+/// The pause in accepting when file descriptors have run out.
+const EXHAUSTED_PAUSE: Duration = Duration::from_millis(20);
+/// The pause after any other error, which must not be retried in a busy loop should it last.
+const ERROR_PAUSE: Duration = Duration::from_millis(1);
 
 /// Opens the listening socket.
 ///
 /// # Errors
 ///
 /// When the address can't be listened on.
-pub fn listen(address: std::net::SocketAddr) -> io::Result<Async<TcpListener>> {
+pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = TcpListener::bind(address)?;
     rustix::net::listen(&listener, BACKLOG)?;
     Async::new(listener)
 }
 
-/// What those need who serve clients.
-pub(crate) struct Frontend {
-    /// What carries the tasks.
-    pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// The module and its mailboxes.
-    pub(crate) driver: Rc<Driver>,
-    /// The connections to the members.
-    pub(crate) pool: Rc<Pool>,
-    /// What is counted.
-    pub(crate) counters: Rc<Counters>,
-    /// How far the pooler's life has come.
-    pub(crate) life: Rc<Life>,
-    /// The slots of the connections.
-    pub(crate) slots: Rc<Slots>,
-    /// The classes by name.
-    pub(crate) classes: Vec<(String, Operation)>,
-    /// Writes whose outcome nobody knows.
-    pub(crate) doubts: Rc<Doubts>,
-    /// The longest deadline of any class.
-    pub(crate) longest_deadline: Duration,
-    /// The clients' ids of the requests that are open: at most one a connection.
-    pub(crate) open_ids: RefCell<HashSet<Box<str>>>,
-    /// Who can be asked to cancel.
-    pub(crate) sessions: Sessions,
-    /// When a client comes back for which there was no room, where clients are told.
-    pub(crate) full_retry_after: Option<TimeDelta>,
-    /// What clients that send ahead share.
-    pub(crate) ahead: Rc<Shared>,
-}
-
-/// Accepts clients until the pooler accepts no more.
-pub(crate) async fn run(frontend: Rc<Frontend>, listener: Async<TcpListener>) {
+/// Accepts clients until the shutdown closes the listener.
+pub(crate) async fn run(context: Rc<ClientContext>, listener: Async<TcpListener>) {
     loop {
-        let accepted = async {
-            let before = frontend.slots.room().await;
-            let (stream, _) = match listener.accept().await {
-                Ok(accepted) => accepted,
-                Err(error) => return Some(Err(error)),
-            };
-            // Long may have passed until somebody came.
-            let room = before || poll_once(frontend.slots.room()).await.unwrap_or(false);
-            Some(Ok((stream, room)))
-        };
+        let accepted = async { Some(accept_one(&context, &listener).await) };
         let not_accepting = async {
-            frontend.life.not_accepting.raised().await;
+            context.shutdown_stages.not_accepting.raised().await;
             None
         };
         match or(accepted, not_accepting).await {
             None => return,
-            Some(Ok((stream, room))) => {
-                admit(&frontend, stream, room);
-                // A flood of connections holds up nobody who is already here.
+            Some(Ok((stream, admission))) => {
+                spawn_session(&context, stream, admission);
+                // A flood of connections must not hold up the clients that are connected.
                 yield_now().await;
             }
-            // Out of descriptors: neither spin nor end. An idle connection is let go to make room.
-            Some(Err(error)) if crate::server::pool::shortage(&error) => {
-                frontend.counters.short.add();
-                if !frontend.pool.close_one_idle() {
-                    frontend.slots.ask_one_to_go(Rank::Parting..=Rank::Idle);
-                }
-                Timer::after(SHORT_PAUSE).await;
-            }
-            // The client gave up before it was accepted; should it be something that lasts, it must not spin.
-            Some(Err(_)) => {
-                Timer::after(Duration::from_millis(1)).await;
-            }
+            Some(Err(error)) => pause_after_error(&context, &error).await,
         }
     }
 }
 
-fn admit(frontend: &Rc<Frontend>, stream: Async<TcpStream>, room: bool) {
-    frontend.counters.clients.add();
-    // An answer held back until the one before is acknowledged would be lost with a connection that breaks. One that
-    // can't be set so has ended already, as its first read tells.
+/// Accepts one client, once there is room for it or it can be told that there is none.
+async fn accept_one(
+    context: &ClientContext,
+    listener: &Async<TcpListener>,
+) -> io::Result<(Async<TcpStream>, Admission)> {
+    let mut admission = context.slots.wait_for_room().await;
+    let (stream, _) = listener.accept().await?;
+    // Much time may have passed until a client connected.
+    if admission == Admission::Rejected {
+        admission = poll_once(context.slots.wait_for_room()).await.unwrap_or(Admission::Rejected);
+    }
+    Ok((stream, admission))
+}
+
+/// Pauses after an error, so that one that lasts keeps the accept loop neither busy nor from going on.
+async fn pause_after_error(context: &ClientContext, error: &io::Error) {
+    if !shortage(error) {
+        // The client gave up before it was accepted.
+        Timer::after(ERROR_PAUSE).await;
+        return;
+    }
+    // Closing an idle connection frees a descriptor.
+    context.counters.short.add();
+    if !context.pool.close_one_idle() {
+        context.slots.evict_one(EvictionClass::Closing..=EvictionClass::Idle);
+    }
+    Timer::after(EXHAUSTED_PAUSE).await;
+}
+
+fn spawn_session(context: &Rc<ClientContext>, stream: Async<TcpStream>, admission: Admission) {
+    context.counters.clients.add();
+    // With Nagle's algorithm, a response held back until the one before is acknowledged would be lost with a connection
+    // that breaks. Where the option can't be set the connection is closed already, which its first read reports.
     let _ = stream.get_ref().set_nodelay(true);
-    let owner = frontend.clone();
+    let session_context = context.clone();
     let task = async move {
-        let slot = owner.slots.take();
-        let session = owner.sessions.enter(slot.number());
-        // What went wrong on one client's connection concerns nobody else: it is closed.
-        let _ = Client::new(&owner, session, stream, slot).run(room).await;
+        let slot = session_context.slots.occupy();
+        // An error on one client's connection concerns no other: the connection is closed.
+        let _ = ClientSession::new(&session_context, stream, slot).run(admission).await;
     };
-    frontend.executor.spawn(task).detach();
+    context.executor.spawn(task).detach();
 }
--- a/crates/proxy/src/client/connection_slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -1,14 +1,14 @@
-//! The slots of client connections: how many there are, and who makes room for whom.
+//! The slots of client connections: how many there are, and which connection is evicted to make room for a new one.
 //!
-//! A client with an open request keeps its slot. Of the others those go first that were told that they have to
-//! go, then those that have asked nothing yet, oldest first, then those idle longest. Clients that have asked
-//! nothing share a part of the slots among themselves, so that a silent crowd pushes out nobody but its own.
-//! Who has asked gets a part as well: where clients may hold only so many connections, those that ask once and
-//! keep theirs would leave none for others.
+//! A client with a request in flight keeps its slot. Of the others, those whose connections are closing anyway are
+//! evicted first, then those that have made no request yet, oldest first, then those that have been idle longest.
+//! Clients that have made no request share a part of the slots among themselves, so that a flood of silent connections
+//! evicts none but its own. Clients that have made requests are limited as well: where each client may hold only so many
+//! connections, those that make one request and keep their connections would leave none for others.
 
 use crate::latch::Flag;
 use async_io::Timer;
-use event_listener::Event as Bell;
+use event_listener::Event;
 use futures_lite::future::or;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,198 +16,251 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How readily a client without an open request makes room.
+/// The part of the slots that clients without a request may occupy.
+const SILENT_DIVISOR: usize = 4;
+
+/// How readily the connection of a client without a request in flight is evicted, the readiest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
-    /// It was told that its connection ends.
-    Parting,
-    /// It has asked nothing yet.
+pub enum EvictionClass {
+    /// The pooler has already told the client that it closes the connection.
+    Closing,
+    /// The client has made no request yet.
     Silent,
-    /// It is between two requests.
+    /// The client is between two requests.
     Idle,
 }
 
-impl Rank {
-    /// One that came to its slot more lately may be about to send.
-    const fn least(self) -> Duration {
+impl EvictionClass {
+    /// In the order of eviction.
+    const ALL: [Self; 3] = [Self::Closing, Self::Silent, Self::Idle];
+
+    /// The age from which a connection may be evicted: the client of a younger one may be about to send.
+    const fn min_age(self) -> Duration {
         match self {
-            Self::Parting | Self::Silent => Duration::from_millis(5),
+            Self::Closing | Self::Silent => Duration::from_millis(5),
             Self::Idle => Duration::from_millis(20),
         }
     }
 }
 
-type At = (Rank, Instant, u64);
+/// Orders evictable connections by class and age.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionKey {
+    class: EvictionClass,
+    since: Instant,
+    slot_number: u64,
+}
+
+/// Whether a client that connects is served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// It has room.
+    Admitted,
+    /// It is accepted only to be told that there is no room: all other clients are being served.
+    Rejected,
+}
+
+/// The limits on the number of client connections.
+#[derive(Clone, Copy, Debug)]
+pub struct SlotLimits {
+    /// Clients that are served.
+    pub clients: usize,
+    /// Clients beyond those that are accepted only to be told that there is no room.
+    pub rejected: usize,
+    /// Clients that have made a request, beyond which idle ones are evicted.
+    pub established: usize,
+}
 
 /// All slots.
 #[derive(Debug)]
-pub struct Slots {
-    most: usize,
-    /// For clients that are accepted only to be refused.
-    spare: usize,
-    most_silent: usize,
-    /// Clients that have asked, busy ones included, beyond which the idle make room.
-    most_known: usize,
-    taken: Cell<usize>,
-    number: Cell<u64>,
-    freed: Bell,
-    /// Who can be asked to go.
-    waiting: RefCell<BTreeMap<At, Rc<Flag>>>,
+pub struct ConnectionSlots {
+    limits: SlotLimits,
+    max_silent: usize,
+    in_use: Cell<usize>,
+    last_number: Cell<u64>,
+    freed: Event,
+    /// The connections that can be evicted; the latch tells their tasks.
+    evictable: RefCell<BTreeMap<EvictionKey, Rc<Flag>>>,
+    /// How many of them are silent.
     silent: Cell<usize>,
-    /// Nobody came before.
-    started: Instant,
+    /// No connection is older than this.
+    created_at: Instant,
 }
 
-impl Slots {
-    /// So many slots, a few more for those that are refused, and so many for clients that have asked.
+impl ConnectionSlots {
+    /// Free slots within these limits.
     #[must_use]
-    pub fn new(most: usize, spare: usize, most_known: usize) -> Self {
+    pub fn new(limits: SlotLimits) -> Self {
         Self {
-            most,
-            spare,
-            most_silent: (most / 4).max(1),
-            most_known,
-            taken: Cell::new(0),
-            number: Cell::new(0),
-            freed: Bell::new(),
-            waiting: RefCell::default(),
+            limits,
+            max_silent: (limits.clients / SILENT_DIVISOR).max(1),
+            in_use: Cell::new(0),
+            last_number: Cell::new(0),
+            freed: Event::new(),
+            evictable: RefCell::default(),
             silent: Cell::new(0),
-            started: Instant::now(),
+            created_at: Instant::now(),
         }
     }
 
-    /// How many are taken, but for those whose clients have been asked to go.
+    /// How many slots are in use, those of evicted connections that are still open left out.
     #[must_use]
-    pub fn taken(&self) -> usize {
-        self.taken.get()
+    pub fn in_use(&self) -> usize {
+        self.in_use.get()
     }
 
-    /// Waits until one more client can be accepted, others being asked to make room if need be. False if it
-    /// can only be refused: all who sit there are being served.
-    pub async fn room(&self) -> bool {
+    /// Waits until one more client can be accepted, evicting another if need be.
+    pub async fn wait_for_room(&self) -> Admission {
         loop {
-            let unknown = self.waiting.borrow().range(..(Rank::Idle, self.started, 0)).count();
-            if self.taken.get().saturating_sub(unknown) >= self.most_known {
-                self.ask_one_to_go(Rank::Idle..=Rank::Idle);
+            if self.established() >= self.limits.established {
+                self.evict_one(EvictionClass::Idle..=EvictionClass::Idle);
             }
-            let crowd = self.silent.get() >= self.most_silent;
-            let full = self.taken.get() >= self.most;
-            if !(crowd || full)
-                || self.ask_one_to_go(Rank::Parting..=if full { Rank::Idle } else { Rank::Silent })
-            {
-                return true;
+            let silent_is_full = self.silent.get() >= self.max_silent;
+            let is_full = self.in_use.get() >= self.limits.clients;
+            if !(silent_is_full || is_full) {
+                return Admission::Admitted;
             }
-            // The crowd is too young to be told from clients that are about to send.
-            if !crowd && self.taken.get() < self.most + self.spare {
-                return false;
+            let last_class = if is_full { EvictionClass::Idle } else { EvictionClass::Silent };
+            if self.evict_one(EvictionClass::Closing..=last_class) {
+                return Admission::Admitted;
             }
+            if !silent_is_full && self.in_use.get() < self.limits.clients + self.limits.rejected {
+                return Admission::Rejected;
+            }
+            // The silent connections are too young to be told from clients that are about to send.
             let freed = self.freed.listen();
             or(freed, async {
-                let _ = Timer::after(Rank::Silent.least()).await;
+                let _ = Timer::after(EvictionClass::Silent.min_age()).await;
             })
             .await;
         }
     }
 
-    /// Asks one client of these ranks to make room; false if nobody can be asked.
-    pub fn ask_one_to_go(&self, ranks: RangeInclusive<Rank>) -> bool {
-        let waiting = self.waiting.borrow();
-        let ranks = [Rank::Parting, Rank::Silent, Rank::Idle].into_iter().filter(|rank| ranks.contains(rank));
-        let oldest = |rank| {
-            waiting.range((rank, self.started, 0)..).next().map(|(at, _)| *at).filter(|at| at.0 == rank)
-        };
-        let old_enough = |at: &At| at.1.elapsed() >= at.0.least();
-        let Some(at) = ranks.filter_map(oldest).find(old_enough) else { return false };
-        drop(waiting);
-        if let Some(flag) = self.leave(at) {
-            self.taken.set(self.taken.get() - 1);
-            flag.raise();
+    /// How many slots belong to clients that have made a request, those with one in flight included.
+    fn established(&self) -> usize {
+        let first_idle = self.first_key(EvictionClass::Idle);
+        let not_established = self.evictable.borrow().range(..first_idle).count();
+        self.in_use.get().saturating_sub(not_established)
+    }
+
+    /// Evicts one connection of these classes; false if none of them can be evicted.
+    pub fn evict_one(&self, classes: RangeInclusive<EvictionClass>) -> bool {
+        let classes = EvictionClass::ALL.into_iter().filter(|class| classes.contains(class));
+        let is_old_enough = |key: &EvictionKey| key.since.elapsed() >= key.class.min_age();
+        let oldest = classes.filter_map(|class| self.oldest(class)).find(is_old_enough);
+        let Some(key) = oldest else { return false };
+        if let Some(evicted) = self.remove_evictable(key) {
+            self.in_use.set(self.in_use.get() - 1);
+            evicted.raise();
         }
         true
     }
 
-    fn leave(&self, at: At) -> Option<Rc<Flag>> {
-        let flag = self.waiting.borrow_mut().remove(&at);
-        if flag.is_some() && at.0 == Rank::Silent {
+    /// The connection of this class that has been evictable longest.
+    fn oldest(&self, class: EvictionClass) -> Option<EvictionKey> {
+        let evictable = self.evictable.borrow();
+        let (key, _) = evictable.range(self.first_key(class)..).next()?;
+        (key.class == class).then_some(*key)
+    }
+
+    /// A key that sorts before all connections of this class.
+    fn first_key(&self, class: EvictionClass) -> EvictionKey {
+        EvictionKey { class, since: self.created_at, slot_number: 0 }
+    }
+
+    fn insert_evictable(&self, key: EvictionKey, evicted: Rc<Flag>) {
+        self.evictable.borrow_mut().insert(key, evicted);
+        if key.class == EvictionClass::Silent {
+            self.silent.set(self.silent.get() + 1);
+        }
+    }
+
+    fn remove_evictable(&self, key: EvictionKey) -> Option<Rc<Flag>> {
+        let evicted = self.evictable.borrow_mut().remove(&key);
+        if evicted.is_some() && key.class == EvictionClass::Silent {
             self.silent.set(self.silent.get() - 1);
         }
-        flag
+        evicted
     }
 
-    /// Takes a slot for a new client.
-    pub fn take(&self) -> Slot<'_> {
-        self.number.set(self.number.get() + 1);
-        self.taken.set(self.taken.get() + 1);
-        Slot { slots: self, number: self.number.get(), asked: Cell::new(false) }
+    /// Occupies a slot for a new client, whether or not there is room.
+    pub fn occupy(&self) -> Slot<'_> {
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        self.in_use.set(self.in_use.get() + 1);
+        Slot { slots: self, number, evicted: Cell::new(false) }
     }
 }
 
-/// A client's slot, given up when it is dropped.
+/// The slot of one client, freed when it is dropped.
 #[derive(Debug)]
 pub struct Slot<'a> {
-    slots: &'a Slots,
+    slots: &'a ConnectionSlots,
     number: u64,
-    /// Its client has been asked to go: the slot counts no longer.
-    asked: Cell<bool>,
+    /// The connection was evicted: the slot no longer counts as in use.
+    evicted: Cell<bool>,
 }
 
 impl Slot<'_> {
-    /// Its number; no two have the same.
+    /// The slot's number, which is never used again.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Does `work` in a state in which the client can be asked to make room; `None` if it was, and `work` had
-    /// not ended by then. What has ended goes before: a client whose request can be read stays.
-    pub async fn yielding<T>(&self, rank: Rank, since: Instant, work: impl Future<Output = T>) -> Option<T> {
-        // One that was asked to go and is still here, to close in order, holds its descriptor until it is asked again.
-        self.stay();
-        let (flag, at) = (Rc::new(Flag::default()), (rank, since, self.number));
-        self.slots.waiting.borrow_mut().insert(at, flag.clone());
-        if rank == Rank::Silent {
-            self.slots.silent.set(self.slots.silent.get() + 1);
-        }
-        let wait = Wait { slot: self, at, flag };
-        let done = or(async { Some(work.await) }, async {
-            wait.flag.raised().await;
+    /// Runs `work` while the connection can be evicted; `None` if it was evicted before `work` completed. Completed work
+    /// takes precedence: a client whose request can be read is not evicted.
+    pub async fn while_evictable<T>(
+        &self,
+        class: EvictionClass,
+        since: Instant,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
+        // An evicted client that is still here, to close in order, holds a descriptor until it is evicted again.
+        self.reclaim();
+        let key = EvictionKey { class, since, slot_number: self.number };
+        let evicted = Rc::new(Flag::default());
+        self.slots.insert_evictable(key, evicted.clone());
+        let guard = EvictableGuard { slot: self, key, evicted };
+        let work = or(async { Some(work.await) }, async {
+            guard.evicted.raised().await;
             None
         });
-        let done = done.await;
-        drop(wait);
-        if done.is_some() {
-            self.stay();
+        let result = work.await;
+        drop(guard);
+        if result.is_some() {
+            self.reclaim();
         }
-        done
+        result
     }
 
-    /// Counts as taken after all, if its client was asked to go.
-    fn stay(&self) {
-        if self.asked.replace(false) {
-            self.slots.taken.set(self.slots.taken.get() + 1);
+    /// Counts the slot as in use again, if its connection was evicted.
+    fn reclaim(&self) {
+        if self.evicted.replace(false) {
+            self.slots.in_use.set(self.slots.in_use.get() + 1);
         }
     }
 }
 
 impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        if !self.asked.get() {
-            self.slots.taken.set(self.slots.taken.get() - 1);
+        if !self.evicted.get() {
+            self.slots.in_use.set(self.slots.in_use.get() - 1);
         }
         self.slots.freed.notify(1);
     }
 }
 
-/// A client that can be asked to go.
-struct Wait<'a> {
+/// Keeps a connection evictable until it is dropped.
+struct EvictableGuard<'a> {
     slot: &'a Slot<'a>,
-    at: At,
-    flag: Rc<Flag>,
+    key: EvictionKey,
+    evicted: Rc<Flag>,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for EvictableGuard<'_> {
     fn drop(&mut self) {
-        self.slot.slots.leave(self.at);
-        self.slot.asked.set(self.flag.is_up());
+        self.slot.slots.remove_evictable(self.key);
+        self.slot.evicted.set(self.evicted.is_up());
     }
 }
--- a/crates/proxy/src/client/in_doubt_writes.rs
+++ b/crates/proxy/src/client/in_doubt_writes.rs
@@ -1,50 +1,66 @@
-//! Writes whose outcome nobody knows: all of it was sent, no answer came, and it must not be sent again. Their clients are
-//! told "failed"; operators find them here, by the clients' ids, to look them up where they would have run.
+//! Writes in doubt: they were sent completely, no response came, and they must not be sent again.
+//!
+//! Their clients receive an error that says so. Operators find the writes here by the clients' ids, to look them up on
+//! the servers that may have run them.
 
 use pooler_routing::{EndpointId, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::fmt;
 
-/// So many of the latest are kept.
-const KEPT: usize = 256;
-/// An id is kept up to this length.
-const LONGEST_ID: usize = 64;
+/// The number of writes that are kept, the latest ones.
+const MAX_KEPT: usize = 256;
+/// The length to which a request id is kept, in characters.
+const MAX_REQUEST_ID_LENGTH: usize = 64;
+const MICROS_PER_MILLI: i64 = 1_000;
 
 #[derive(Debug)]
-struct Doubt {
-    id: Box<str>,
+struct InDoubtWrite {
+    request_id: Box<str>,
     class: Box<str>,
-    member: Option<EndpointId>,
-    at: Timestamp,
+    endpoint: Option<EndpointId>,
+    given_up_at: Timestamp,
 }
 
-/// The writes in doubt since the start, the latest of them by name.
+/// The number of writes in doubt since the start, and the latest of them.
 #[derive(Debug, Default)]
-pub struct Doubts {
-    all: Cell<u64>,
-    latest: RefCell<VecDeque<Doubt>>,
+pub struct InDoubtWrites {
+    total: Cell<u64>,
+    latest: RefCell<VecDeque<InDoubtWrite>>,
 }
 
-impl Doubts {
-    /// One more: the client's id, its class, the member that may have run it, and when that was given up.
-    pub fn add(&self, id: &str, class: &str, member: Option<EndpointId>, at: Timestamp) {
-        self.all.set(self.all.get().saturating_add(1));
+impl InDoubtWrites {
+    /// Records a write: the client's id of the request, its class, the endpoint that may have run it, and when it was
+    /// given up.
+    pub fn record(
+        &self,
+        request_id: &str,
+        class: &str,
+        endpoint: Option<EndpointId>,
+        given_up_at: Timestamp,
+    ) {
+        self.total.set(self.total.get().saturating_add(1));
         let mut latest = self.latest.borrow_mut();
-        if latest.len() == KEPT {
+        if latest.len() == MAX_KEPT {
             latest.pop_front();
         }
-        let id: String = id.chars().take(LONGEST_ID).collect();
-        latest.push_back(Doubt { id: id.into(), class: class.into(), member, at });
+        let request_id: String = request_id.chars().take(MAX_REQUEST_ID_LENGTH).collect();
+        latest.push_back(InDoubtWrite {
+            request_id: request_id.into(),
+            class: class.into(),
+            endpoint,
+            given_up_at,
+        });
     }
 }
 
-impl fmt::Display for Doubts {
+impl fmt::Display for InDoubtWrites {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "in doubt: {} since the start", self.all.get())?;
-        for Doubt { id, class, member, at } in self.latest.borrow().iter().rev() {
-            let member = member.as_ref().map_or("-", |member| &member.0);
-            write!(f, "; {class} id={id} at {member}, {} ms", at.0 / 1_000)?;
+        write!(f, "in doubt: {} since the start", self.total.get())?;
+        for InDoubtWrite { request_id, class, endpoint, given_up_at } in self.latest.borrow().iter().rev() {
+            let endpoint = endpoint.as_ref().map_or("-", |endpoint| &endpoint.0);
+            let millis = given_up_at.0 / MICROS_PER_MILLI;
+            write!(f, "; {class} id={request_id} at {endpoint}, {millis} ms")?;
         }
         Ok(())
     }
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -1,8 +1,16 @@
-//! The client side: accepting connections, the sessions on them, and what bounds their number.
+//! The client side: accepting connections, the sessions on them, and the limits on their number.
 
 pub mod accept;
+mod commands;
+mod connection;
 pub mod connection_slots;
+pub(crate) mod context;
+mod errors;
 pub mod in_doubt_writes;
+pub(crate) mod open_request_ids;
 pub(crate) mod read_ahead;
+mod requests;
+mod responses;
 mod session;
 pub(crate) mod session_keys;
+mod startup;
--- /dev/null
+++ b/crates/proxy/src/client/open_request_ids.rs
@@ -0,0 +1,39 @@
+//! The ids of the requests in flight: no two requests with the same id are in flight at the same time.
+
+use std::cell::RefCell;
+use std::collections::HashSet;
+
+/// The clients' ids of all requests in flight.
+#[derive(Debug, Default)]
+pub(crate) struct OpenRequestIds {
+    ids: RefCell<HashSet<Box<str>>>,
+}
+
+impl OpenRequestIds {
+    /// Reserves an id until the guard is dropped; `None` if a request with this id is in flight.
+    pub(crate) fn reserve(&self, id: &str) -> Option<OpenRequestId<'_>> {
+        let id: Box<str> = id.into();
+        let is_new = self.ids.borrow_mut().insert(id.clone());
+        is_new.then(|| OpenRequestId { open: self, id })
+    }
+}
+
+/// The reserved id of a request in flight; dropping it releases the id.
+#[derive(Debug)]
+pub(crate) struct OpenRequestId<'a> {
+    open: &'a OpenRequestIds,
+    id: Box<str>,
+}
+
+impl OpenRequestId<'_> {
+    /// The id.
+    pub(crate) fn as_str(&self) -> &str {
+        &self.id
+    }
+}
+
+impl Drop for OpenRequestId<'_> {
+    fn drop(&mut self) {
+        self.open.ids.borrow_mut().remove(&self.id);
+    }
+}
--- a/crates/proxy/src/client/read_ahead.rs
+++ b/crates/proxy/src/client/read_ahead.rs
@@ -1,178 +1,198 @@
-//! What a client sends while its request is out. It is kept within bounds, and passed over beyond them: however much a
-//! client sends ahead, its close is seen. What was passed over is refused in its turn.
+//! Commands that a client sends while its request is in flight.
+//!
+//! They are buffered up to a limit, and skipped beyond it: however much a client sends ahead, its disconnect is noticed.
+//! Skipped commands are rejected in their turn.
 
 use crate::buffer::{ReadBuffer, discard};
-use crate::protocol::{self, ProtocolError, QuerySkipper};
+use crate::protocol::{ProtocolError, QuerySkipper, parse_frontend_message};
 use async_io::Async;
 use futures_lite::future::yield_now;
 use std::cell::{Cell, RefCell};
+use std::io;
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// What is kept of one client, and of a few at a time.
-const KEPT: usize = 16 * 1024;
-const MOST_KEPT: usize = 256 * 1024;
-const MOST_LARGE: usize = 16;
-/// So many commands are refused for having been passed over; a client that sends more makes no sense.
-const MOST_PASSED_OVER: usize = 10_000;
+/// The bytes that every client may have buffered.
+const BUFFER_LIMIT: usize = 16 * 1024;
+/// The bytes that a client with a large buffer may have buffered.
+const LARGE_BUFFER_LIMIT: usize = 256 * 1024;
+/// The number of clients that may have a large buffer at a time.
+const MAX_LARGE_BUFFERS: usize = 16;
+/// The number of skipped commands that are rejected one by one; a client that sends more violates the protocol.
+const MAX_SKIPPED_COMMANDS: usize = 10_000;
 
-/// What all clients that send ahead share.
+/// The memory that all clients share for commands sent ahead.
 #[derive(Debug)]
-pub(crate) struct Shared {
-    /// How many clients have more kept than the others.
-    large: Cell<usize>,
-    /// Where bytes are read to that are not kept.
-    pub(crate) scratch: RefCell<Vec<u8>>,
+pub(crate) struct ReadAheadBudget {
+    large_buffers: Cell<usize>,
+    /// Where bytes are read to that are discarded.
+    scratch: RefCell<Vec<u8>>,
 }
 
-impl Shared {
-    /// Passes over so many bytes at a time.
-    pub(crate) fn new(scratch: usize) -> Self {
-        Self { large: Cell::new(0), scratch: RefCell::new(vec![0; scratch]) }
+impl ReadAheadBudget {
+    /// A budget with a scratch buffer of this size, in bytes.
+    pub(crate) fn new(scratch_size: usize) -> Self {
+        Self { large_buffers: Cell::new(0), scratch: RefCell::new(vec![0; scratch_size]) }
+    }
+
+    /// Reads once from the stream and discards the bytes; gives their number, which is 0 at the end of the stream.
+    pub(crate) async fn discard(&self, stream: &Async<TcpStream>) -> io::Result<usize> {
+        discard(stream, &self.scratch).await
     }
 }
 
-/// The right of one client to have more kept than others.
-struct Large(Rc<Shared>);
+/// The permission of one client to have a large buffer.
+struct LargeBufferPermit {
+    budget: Rc<ReadAheadBudget>,
+}
 
-impl Large {
-    fn enter(shared: &Rc<Shared>) -> Option<Self> {
-        let now = shared.large.get();
-        (now < MOST_LARGE).then(|| {
-            shared.large.set(now + 1);
-            Self(shared.clone())
-        })
+impl LargeBufferPermit {
+    /// Takes a permit if there is one left.
+    fn try_acquire(budget: &Rc<ReadAheadBudget>) -> Option<Self> {
+        let in_use = budget.large_buffers.get();
+        if in_use >= MAX_LARGE_BUFFERS {
+            return None;
+        }
+        budget.large_buffers.set(in_use + 1);
+        Some(Self { budget: budget.clone() })
     }
 }
 
-impl Drop for Large {
+impl Drop for LargeBufferPermit {
     fn drop(&mut self) {
-        self.0.large.set(self.0.large.get() - 1);
+        self.budget.large_buffers.set(self.budget.large_buffers.get() - 1);
     }
 }
 
-/// What one client has sent ahead, beside what its buffer holds.
-pub(crate) struct ReadAhead {
-    shared: Rc<Shared>,
-    large: Option<Large>,
-    beyond: Option<Beyond>,
-}
-
-/// What came after the buffer was full.
+/// The commands of one client that came after its buffer was full.
 #[derive(Default)]
-struct Beyond {
+struct SkippedCommands {
     skipper: QuerySkipper,
-    /// It can't be followed any further.
-    spoilt: Option<ProtocolError>,
+    /// Why the stream can't be followed any further.
+    error: Option<ProtocolError>,
 }
 
-impl Beyond {
-    /// Begins behind the last whole command in the buffer.
-    fn after(buffer: &mut ReadBuffer) -> Self {
-        let mut beyond = Self::default();
-        let mut whole = 0;
+impl SkippedCommands {
+    /// Skips what follows the last complete command in the buffer, and removes it from there.
+    fn begin(buffer: &mut ReadBuffer) -> Self {
+        let mut skipped = Self::default();
+        let mut complete = 0;
         loop {
-            match protocol::parse_frontend_message(&buffer.data()[whole..]) {
-                Ok(Some(message)) => whole += message.size,
+            match parse_frontend_message(&buffer.data()[complete..]) {
+                Ok(Some(message)) => complete += message.size,
                 Ok(None) => break,
                 Err(error) => {
-                    beyond.spoilt = Some(error);
+                    skipped.error = Some(error);
                     break;
                 }
             }
         }
-        beyond.take(&buffer.data()[whole..]);
-        buffer.truncate(whole);
-        beyond
+        skipped.advance(&buffer.data()[complete..]);
+        buffer.truncate(complete);
+        skipped
     }
 
-    fn take(&mut self, bytes: &[u8]) {
-        if self.spoilt.is_none() {
-            self.spoilt = self.skipper.advance(bytes).err();
+    fn advance(&mut self, bytes: &[u8]) {
+        if self.error.is_none() {
+            self.error = self.skipper.advance(bytes).err();
         }
-        if self.skipper.queries() > MOST_PASSED_OVER {
-            self.spoilt = Some(ProtocolError::Malformed("stream of commands"));
+        if self.skipper.queries() > MAX_SKIPPED_COMMANDS {
+            self.error = Some(ProtocolError::Malformed("stream of commands"));
         }
     }
 }
 
-/// What is to be done about commands that were passed over.
+/// What follows the commands in the buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PassedOver {
-    /// There are none.
+pub(crate) enum NextSkipped {
+    /// No skipped command.
     None,
-    /// So many are refused.
-    Refuse(usize),
-    /// One has begun, and the rest of it is still to come.
-    Begun,
-    /// The client has ended its session.
-    Ended,
-    /// What came makes no sense.
-    Spoilt(ProtocolError),
+    /// So many complete commands, which are to be rejected.
+    Commands(usize),
+    /// A command of which a part has not been read yet.
+    Incomplete,
+    /// The end of the session.
+    Terminate,
+    /// A violation of the protocol.
+    Invalid(ProtocolError),
+}
+
+/// What one client has sent ahead, beside the commands in its buffer.
+pub(crate) struct ReadAhead {
+    budget: Rc<ReadAheadBudget>,
+    large_buffer: Option<LargeBufferPermit>,
+    skipped: Option<SkippedCommands>,
 }
 
 impl ReadAhead {
-    /// Nothing yet.
-    pub(crate) fn new(shared: Rc<Shared>) -> Self {
-        Self { shared, large: None, beyond: None }
+    /// A client that has sent nothing yet.
+    pub(crate) fn new(budget: Rc<ReadAheadBudget>) -> Self {
+        Self { budget, large_buffer: None, skipped: None }
     }
 
-    /// Whether bytes are passed over at the moment.
-    pub(crate) fn is_passing_over(&self) -> bool {
-        self.beyond.is_some()
+    /// Whether commands are skipped at the moment.
+    pub(crate) fn is_skipping(&self) -> bool {
+        self.skipped.is_some()
     }
 
     /// Reads until the client has closed its connection.
-    pub(crate) async fn until_closed(&mut self, stream: &Async<TcpStream>, buffer: &mut ReadBuffer) {
-        while self.beyond.is_none() {
-            if self.large.is_none() && buffer.data().len() >= KEPT {
-                self.large = Large::enter(&self.shared);
-            }
-            if buffer.data().len() >= if self.large.is_some() { MOST_KEPT } else { KEPT } {
-                self.beyond = Some(Beyond::after(buffer));
+    pub(crate) async fn read_until_closed(&mut self, stream: &Async<TcpStream>, buffer: &mut ReadBuffer) {
+        while self.skipped.is_none() {
+            if self.is_full(buffer) {
+                self.skipped = Some(SkippedCommands::begin(buffer));
             } else if !matches!(buffer.fill(stream).await, Ok(1..)) {
                 return;
             }
         }
-        while self.pass_over(stream).await {
-            // One that sends at full speed holds up nobody else.
+        while self.skip(stream).await {
+            // A client that sends at full speed must not hold up the others.
             yield_now().await;
         }
     }
 
-    /// Reads once, and keeps nothing of it; false at the end of the stream.
-    pub(crate) async fn pass_over(&mut self, stream: &Async<TcpStream>) -> bool {
-        let Ok(count @ 1..) = discard(stream, &self.shared.scratch).await else { return false };
-        if let Some(beyond) = &mut self.beyond {
-            beyond.take(&self.shared.scratch.borrow()[..count]);
+    /// Whether the client may buffer nothing more; takes a permit for a large buffer if it needs one.
+    fn is_full(&mut self, buffer: &ReadBuffer) -> bool {
+        let buffered = buffer.data().len();
+        if self.large_buffer.is_none() && buffered >= BUFFER_LIMIT {
+            self.large_buffer = LargeBufferPermit::try_acquire(&self.budget);
+        }
+        let limit = if self.large_buffer.is_some() { LARGE_BUFFER_LIMIT } else { BUFFER_LIMIT };
+        buffered >= limit
+    }
+
+    /// Reads and skips once; false at the end of the stream.
+    pub(crate) async fn skip(&mut self, stream: &Async<TcpStream>) -> bool {
+        let Ok(count @ 1..) = self.budget.discard(stream).await else { return false };
+        if let Some(skipped) = &mut self.skipped {
+            skipped.advance(&self.budget.scratch.borrow()[..count]);
         }
         true
     }
 
-    /// Takes note that the buffer holds no more than this.
-    pub(crate) fn kept(&mut self, bytes: usize) {
-        if bytes < KEPT {
-            self.large = None;
+    /// Gives back the permit for a large buffer once no more than this is buffered, if that is small.
+    pub(crate) fn set_buffered(&mut self, bytes: usize) {
+        if bytes < BUFFER_LIMIT {
+            self.large_buffer = None;
         }
     }
 
-    /// What comes next, once all commands in the buffer have been answered.
-    pub(crate) fn next(&mut self) -> PassedOver {
-        let Some(beyond) = &mut self.beyond else { return PassedOver::None };
-        match beyond.skipper.take_queries() {
-            0 => {}
-            count => return PassedOver::Refuse(count),
+    /// What comes next, once all commands in the buffer have been answered. Complete skipped commands are given once.
+    pub(crate) fn take_next(&mut self) -> NextSkipped {
+        let Some(skipped) = &mut self.skipped else { return NextSkipped::None };
+        let queries = skipped.skipper.take_queries();
+        if queries > 0 {
+            return NextSkipped::Commands(queries);
         }
-        if let Some(error) = beyond.spoilt {
-            return PassedOver::Spoilt(error);
+        if let Some(error) = skipped.error {
+            return NextSkipped::Invalid(error);
         }
-        if beyond.skipper.is_terminated() {
-            return PassedOver::Ended;
+        if skipped.skipper.is_terminated() {
+            return NextSkipped::Terminate;
         }
-        if !beyond.skipper.is_between_messages() {
-            return PassedOver::Begun;
+        if !skipped.skipper.is_between_messages() {
+            return NextSkipped::Incomplete;
         }
-        self.beyond = None;
-        PassedOver::None
+        self.skipped = None;
+        NextSkipped::None
     }
 }
--- a/crates/proxy/src/client/session.rs
+++ b/crates/proxy/src/client/session.rs
@@ -1,553 +1,181 @@
-//! One client: its startup, and its commands in order, each answered before the next is begun.
-
-use crate::buffer::{ReadBuffer, discard, write_all};
-use crate::client::accept::Frontend;
-use crate::client::connection_slots::{Rank, Slot};
-use crate::client::read_ahead::{PassedOver, ReadAhead};
-use crate::client::session_keys::Session;
+//! The session of one client: its startup, and its commands in order, each answered before the next one begins.
+
+use crate::client::commands::{Command, take_command};
+use crate::client::connection::{ClientConnection, ClosedBy, ReadOutcome, SessionPhase};
+use crate::client::connection_slots::{Admission, Slot};
+use crate::client::context::ClientContext;
+use crate::client::errors::{ClientError, ErrorReply};
+use crate::client::read_ahead::NextSkipped;
+use crate::client::requests::{RoutedRequest, serve_request};
+use crate::client::responses::{reject_skipped_commands, send_final_response};
+use crate::client::session_keys::RegisteredSession;
+use crate::client::startup::{StartupOutcome, start_session};
 use crate::protocol::write::{self, Severity};
-use crate::protocol::{self, ProtocolError, SqlState, StartupMessage, StatementKind};
-use crate::request::{Asked, Cut, Final, serve};
-use crate::server::pool::{Reply, Statement};
-use async_io::{Async, Timer};
-use futures_lite::future::{or, yield_now};
-use pooler_routing::*;
-use std::hash::{DefaultHasher, Hash, Hasher};
-use std::io;
-use std::net::{Shutdown, TcpStream};
-use std::rc::Rc;
-use std::time::{Duration, Instant};
-
-/// A client gets this long for its first command from when it was accepted, and for the rest of any command
-/// that has begun; and this long to take an answer. Connections without an open request may be closed after 2 s,
-/// and who sends nothing whole is owed a close within 3 s of connecting, part of which it may wait in the backlog.
-const COMMAND_WAIT: Duration = Duration::from_secs(2);
-const WRITE_WAIT: Duration = Duration::from_secs(30);
-/// How long a client that was told why its connection ends may go on writing: enough for 60 MB; and how long one
-/// that was shut out between two commands has to close its side.
-const PARTING: Duration = Duration::from_secs(3);
-const CLOSING: Duration = Duration::from_secs(1);
-/// Who sends what can't be served rests for so long after each error, and is told to go after so many: the
-/// same thing, sent again as soon as it was turned away, would keep others waiting.
-const REST: Duration = Duration::from_millis(50);
-const MOST_ERRORS: u32 = 8;
-const REFUSED: &str = "refused, nothing is harmed by a retry";
-/// Refusals of commands that were passed over are written so many at a time.
-const REFUSALS: usize = 64;
-
-/// Why a client's connection ends.
-#[derive(Debug, thiserror::Error)]
-pub(crate) enum ClientError {
-    #[error("{0}")]
-    Io(#[from] io::Error),
-    #[error("{0}")]
-    Pg(#[from] ProtocolError),
-    #[error("too slow")]
-    Slow,
-}
-
-/// How far a client has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    /// Its startup is not all there.
-    Startup,
-    /// It has not made a request yet.
-    Silent,
-    /// It has.
-    Known,
-}
-
-pub(crate) struct Client<'a> {
-    frontend: &'a Rc<Frontend>,
-    session: Session<'a>,
-    // Closed before the slot counts as free.
-    stream: Async<TcpStream>,
-    buffer: ReadBuffer,
-    slot: Slot<'a>,
-    stage: Stage,
-    /// When it came to its slot, or last had an answer.
-    since: Instant,
-    /// Its commands that were no use.
-    errors: u32,
-    /// Nothing more is sent to it.
-    closed: bool,
-    /// What it has sent ahead.
-    ahead: ReadAhead,
-}
-
-/// Who ends a connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum EndedBy {
-    /// Its client, or nobody can say anything on it any more.
-    Client,
-    /// The pooler: it has to make room, its client took too long, or the process ends.
-    Pooler,
-}
-
-/// What became of reading more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum More {
-    /// Something came.
-    Bytes,
-    /// Nothing will.
-    Ended(EndedBy),
+use crate::protocol::{frontend_tag, parse_frontend_message};
+use crate::request::Final;
+use async_io::Async;
+use futures_lite::future::yield_now;
+use std::net::TcpStream;
+use std::ops::ControlFlow;
+use std::time::Duration;
+
+/// The pause after each rejected command: a client that repeats what was rejected, as fast as it can, would hold up
+/// the others.
+const REJECTION_PAUSE: Duration = Duration::from_millis(50);
+/// The number of rejected commands after which the connection is closed.
+const MAX_REJECTED_COMMANDS: u32 = 8;
+/// The largest capacity that the buffer for responses keeps between two commands, in bytes.
+const MAX_IDLE_RESPONSE_CAPACITY: usize = 4 * 1024;
+
+/// The session of one client.
+pub(super) struct ClientSession<'a> {
+    context: &'a ClientContext,
+    registration: RegisteredSession<'a>,
+    connection: ClientConnection<'a>,
+    rejected_commands: u32,
+    /// After an error in the extended query protocol, all messages up to Sync are discarded.
+    skip_until_sync: bool,
 }
 
-/// What a command comes down to.
-enum Command {
-    /// A request to route.
-    Request(Asked<Statement>, OpenId),
-    /// Something answered here; the answer is in the buffer given.
-    Answered,
-    /// Something that is not served: the code and words of its error.
-    Rejected(SqlState, String),
-    /// The connection ends.
-    End,
-}
-
-impl<'a> Client<'a> {
-    /// One that has just been accepted.
-    pub(crate) fn new(
-        frontend: &'a Rc<Frontend>,
-        session: Session<'a>,
-        stream: Async<TcpStream>,
-        slot: Slot<'a>,
-    ) -> Self {
+impl<'a> ClientSession<'a> {
+    /// The session of a connection that has just been accepted.
+    pub(super) fn new(context: &'a ClientContext, stream: Async<TcpStream>, slot: Slot<'a>) -> Self {
         Self {
-            frontend,
-            session,
-            stream,
-            buffer: ReadBuffer::default(),
-            slot,
-            stage: Stage::Startup,
-            since: Instant::now(),
-            errors: 0,
-            closed: false,
-            ahead: ReadAhead::new(frontend.ahead.clone()),
+            context,
+            registration: context.session_keys.register(slot.number()),
+            connection: ClientConnection::new(context, stream, slot),
+            rejected_commands: 0,
+            skip_until_sync: false,
         }
     }
 
-    /// Serves it until its connection ends. Without room it is told so and parted from.
-    pub(crate) async fn run(&mut self, room: bool) -> Result<(), ClientError> {
-        let ended = match self.begin(room).await {
-            Ok(true) => self.commands().await,
-            other => other.map(|_| EndedBy::Client),
-        };
-        match ended {
-            Err(ClientError::Pg(error)) => {
-                self.frontend.counters.rejected.add();
-                self.part(SqlState::PROTOCOL_VIOLATION, &error.to_string(), None).await
+    /// Serves the client until its connection is closed.
+    pub(super) async fn run(&mut self, admission: Admission) -> Result<(), ClientError> {
+        match self.serve(admission).await {
+            Ok(closed_by) => self.connection.finish(closed_by).await,
+            Err(ClientError::Protocol(error)) => {
+                self.context.counters.rejected.add();
+                self.connection.close_with_error(ErrorReply::ProtocolViolation(error)).await
             }
-            // What was read of a command is owed a word, as the rest of it may be on its way.
-            Ok(EndedBy::Pooler) if self.has_begun_command() => {
-                self.frontend.counters.rejected.add();
-                self.part(
-                    SqlState::CANNOT_CONNECT_NOW,
-                    "the connection ends before the command was read",
-                    None,
-                )
-                .await
-            }
-            // Who has asked nothing yet has no answer to lose.
-            Ok(_) if self.stage == Stage::Known => self.close(CLOSING).await,
-            other => other.map(drop),
-        }
-    }
-
-    /// Whether something of a command has been read that was not answered.
-    fn has_begun_command(&self) -> bool {
-        !self.buffer.data().is_empty() || self.ahead.is_passing_over()
-    }
-
-    /// Sends the last words on a connection, and reads what the client is still writing: to close before that
-    /// would reset the connection, and the words might be lost with it.
-    async fn part(&mut self, code: SqlState, words: &str, detail: Option<&str>) -> Result<(), ClientError> {
-        let mut out = Vec::new();
-        write::error_response(&mut out, Severity::Fatal, code, words, detail);
-        self.send(&[&out]).await?;
-        self.close(PARTING).await
-    }
-
-    /// Ends the sending, and reads what still comes until the client has closed, or for so long. A close over unread
-    /// bytes would reset the connection, and take the last answer with it. What comes now is served no more.
-    async fn close(&mut self, longest: Duration) -> Result<(), ClientError> {
-        if self.closed {
-            return Ok(());
+            Err(error) => Err(error),
         }
-        self.closed = true;
-        self.stream.get_ref().shutdown(Shutdown::Write)?;
-        self.buffer = ReadBuffer::default();
-        let rest = async {
-            // One that sends at full speed holds up nobody else.
-            while matches!(discard(&self.stream, &self.frontend.ahead.scratch).await, Ok(1..)) {
-                yield_now().await;
-            }
-        };
-        let enough = async {
-            Timer::after(longest).await;
-        };
-        let work = or(rest, or(enough, self.frontend.life.ended.raised()));
-        self.slot.yielding(Rank::Parting, Instant::now(), work).await;
-        Ok(())
     }
 
-    async fn send(&self, pieces: &[&[u8]]) -> Result<(), ClientError> {
-        let slow = async {
-            Timer::after(WRITE_WAIT).await;
-            Err(ClientError::Slow)
-        };
-        or(async { Ok(write_all(&self.stream, pieces).await?) }, slow).await
-    }
-
-    /// The startup; false if there is no session after it.
-    async fn begin(&mut self, room: bool) -> Result<bool, ClientError> {
-        loop {
-            if let Some((kind, size)) = protocol::parse_startup_message(self.buffer.data())? {
-                self.buffer.consume(size);
-                match kind {
-                    StartupMessage::EncryptionRequest => self.send(&[b"N"]).await?,
-                    StartupMessage::CancelRequest(key) => {
-                        self.frontend.sessions.cancel(key);
-                        return Ok(false);
-                    }
-                    StartupMessage::SessionStart => break,
-                }
-            } else if self.more().await? != More::Bytes {
-                return Ok(false);
-            }
+    async fn serve(&mut self, admission: Admission) -> Result<ClosedBy, ClientError> {
+        let key = self.registration.key();
+        match start_session(self.context, &mut self.connection, key, admission).await? {
+            StartupOutcome::SessionStarted => self.serve_commands().await,
+            StartupOutcome::Done => Ok(ClosedBy::Client),
         }
-        if !room {
-            self.frontend.counters.crowded_out.add();
-            let retry_after = self.frontend.full_retry_after.map(retry_after_field);
-            self.part(SqlState::TOO_MANY_CONNECTIONS, "too many clients", retry_after.as_deref()).await?;
-            return Ok(false);
-        }
-        self.stage = Stage::Silent;
-        let mut out = Vec::with_capacity(256);
-        write::session_start(&mut out, self.session.id);
-        self.send(&[&out]).await?;
-        Ok(true)
     }
 
-    async fn commands(&mut self) -> Result<EndedBy, ClientError> {
-        let mut skipping = false;
+    async fn serve_commands(&mut self) -> Result<ClosedBy, ClientError> {
         let mut out = Vec::new();
         loop {
-            let Some(message) = protocol::parse_frontend_message(self.buffer.data())? else {
-                match self.ahead.next() {
-                    PassedOver::None | PassedOver::Begun => {
-                        if let More::Ended(by) = self.more().await? {
-                            return Ok(by);
-                        }
-                    }
-                    PassedOver::Refuse(count) => self.refuse_passed_over(count).await?,
-                    PassedOver::Ended => return Ok(EndedBy::Client),
-                    PassedOver::Spoilt(error) => return Err(error.into()),
+            let Some(message) = parse_frontend_message(self.connection.buffer().data())? else {
+                match self.read_next_command().await? {
+                    ControlFlow::Continue(()) => continue,
+                    ControlFlow::Break(closed_by) => return Ok(closed_by),
                 }
-                continue;
             };
             let (tag, size) = (message.tag, message.size);
-            // After an error in the extended protocol all is skipped up to Sync.
-            if skipping && tag != b'S' && tag != b'X' {
-                self.buffer.consume(size);
+            if self.skip_until_sync && !matches!(tag, frontend_tag::SYNC | frontend_tag::TERMINATE) {
+                self.connection.buffer().consume(size);
                 continue;
             }
             out.clear();
-            match self.command(size, &mut out)? {
-                Command::End => return Ok(EndedBy::Client),
-                Command::Answered => {
-                    skipping &= tag != b'S';
-                    if matches!(tag, b'Q' | b'S') {
-                        write::ready_for_query(&mut out);
-                    }
-                    self.send(&[&out]).await?;
-                }
-                Command::Rejected(code, words) => {
-                    self.frontend.counters.rejected.add();
-                    self.errors += 1;
-                    if self.errors >= MOST_ERRORS {
-                        self.part(code, &words, None).await?;
-                        return Ok(EndedBy::Client);
-                    }
-                    write::error_response(&mut out, Severity::Error, code, &words, None);
-                    skipping = tag != b'Q';
-                    if !skipping {
-                        write::ready_for_query(&mut out);
-                    }
-                    self.send(&[&out]).await?;
-                    let rest = async {
-                        Timer::after(REST).await;
-                    };
-                    if self.slot.yielding(Rank::Silent, self.since, rest).await.is_none() {
-                        return Ok(EndedBy::Pooler);
-                    }
-                }
-                Command::Request(asked, open) => {
-                    self.stage = Stage::Known;
-                    // There is no time left to serve what stood behind others until now.
-                    if self.frontend.life.ending.is_up() {
-                        self.frontend.counters.taken.add();
-                        self.frontend.counters.refused.add();
-                        self.answer(Final::Refused(None), &mut out).await?;
-                    } else if !self.request(asked, &open.id, &mut out).await? {
-                        return Ok(EndedBy::Client);
-                    }
-                    drop(open);
-                }
+            let command = take_command(self.context, self.connection.buffer(), size)?;
+            if let ControlFlow::Break(closed_by) = self.execute(command, &mut out).await? {
+                return Ok(closed_by);
             }
-            if self.stage == Stage::Known {
-                self.since = Instant::now();
-            }
-            // Many commands sent at once hold up nobody else.
+            self.connection.restart_idle_time();
+            // Many commands sent at once must not hold up other clients.
             yield_now().await;
-            if out.capacity() > 4 * 1024 {
+            if out.capacity() > MAX_IDLE_RESPONSE_CAPACITY {
                 out = Vec::new();
             }
         }
     }
 
-    /// Refuses so many commands that were passed over.
-    async fn refuse_passed_over(&self, mut count: usize) -> Result<(), ClientError> {
-        while count > 0 {
-            let mut out = Vec::new();
-            for _ in 0..count.min(REFUSALS) {
-                self.frontend.counters.rejected.add();
-                write::error_response(
-                    &mut out,
-                    Severity::Error,
-                    SqlState::TOO_MANY_CONNECTIONS,
-                    "too many commands sent ahead",
-                    None,
-                );
-                write::ready_for_query(&mut out);
+    /// Reads more once all commands in the buffer have been answered; skipped commands are rejected first.
+    async fn read_next_command(&mut self) -> Result<ControlFlow<ClosedBy>, ClientError> {
+        match self.connection.take_next_skipped() {
+            NextSkipped::None | NextSkipped::Incomplete => {
+                if let ReadOutcome::Closed(closed_by) = self.connection.read_more().await? {
+                    return Ok(ControlFlow::Break(closed_by));
+                }
             }
-            self.send(&[&out]).await?;
-            count = count.saturating_sub(REFUSALS);
-        }
-        Ok(())
-    }
-
-    /// Reads more, unless the client has to go: it makes room, took too long for a command, or the process ends. What
-    /// is readable goes before all that.
-    async fn more(&mut self) -> Result<More, ClientError> {
-        let Self { frontend, stream, buffer, ahead, slot, stage, since, .. } = self;
-        let between = buffer.data().is_empty() && !ahead.is_passing_over() && *stage != Stage::Startup;
-        // Who asks again as soon as it is answered would otherwise go on until the process ends under its request.
-        if between && frontend.life.ending.is_up() {
-            return Ok(More::Ended(EndedBy::Pooler));
-        }
-        buffer.shrink_if_empty();
-        // The first bytes of a command that has begun came just now; they don't grant more time again.
-        let limit = match *stage {
-            Stage::Known if between => None,
-            _ => Some(*since + COMMAND_WAIT),
-        };
-        let read = async {
-            let came = if ahead.is_passing_over() {
-                ahead.pass_over(stream).await
-            } else {
-                buffer.fill(stream).await? > 0
-            };
-            Ok(if came { More::Bytes } else { More::Ended(EndedBy::Client) })
-        };
-        let late = async {
-            match limit {
-                Some(at) => drop(Timer::at(at).await),
-                None => std::future::pending().await,
+            NextSkipped::Commands(count) => {
+                reject_skipped_commands(&self.connection, &self.context.counters, count).await?;
             }
-            Ok(More::Ended(EndedBy::Pooler))
-        };
-        let ending = async {
-            let ends = if between { &frontend.life.closing } else { &frontend.life.ending };
-            ends.raised().await;
-            Ok(More::Ended(EndedBy::Pooler))
-        };
-        let rank = if *stage == Stage::Known { Rank::Idle } else { Rank::Silent };
-        let done = slot.yielding(rank, *since, or(read, or(late, ending))).await;
-        if between && *stage == Stage::Known {
-            *since = Instant::now();
+            NextSkipped::Terminate => return Ok(ControlFlow::Break(ClosedBy::Client)),
+            NextSkipped::Invalid(error) => return Err(error.into()),
         }
-        done.unwrap_or(Ok(More::Ended(EndedBy::Pooler)))
+        Ok(ControlFlow::Continue(()))
     }
 
-    /// Reads the command at the front of the buffer and uses it up.
-    fn command(&mut self, size: usize, out: &mut Vec<u8>) -> Result<Command, ClientError> {
-        let Some(message) = protocol::parse_frontend_message(self.buffer.data())? else {
-            return Ok(Command::End);
-        };
-        let mut rejected = None;
-        match message.tag {
-            b'Q' => {
-                let statement = protocol::parse_query(message.body)?;
-                match protocol::classify_statement(statement) {
-                    Ok(StatementKind::Request(comment)) => {
-                        // What waits behind others is not taken late: its client counts from when it sent it.
-                        let waited = self.buffer.arrival_time(size).map_or(Duration::ZERO, |at| at.elapsed());
-                        let asked = self.frontend.asked(statement, &comment, waited);
-                        let open = OpenId::enter(self.frontend, comment.request_id);
-                        if let (Some(asked), Some(open)) = (asked, open) {
-                            let wait = comment.timeout_digits.clone();
-                            let (bytes, at) = self.buffer.detach(size);
-                            let whole = at.start + 5..at.end;
-                            let wait = wait.start + whole.start..wait.end + whole.start;
-                            return Ok(Command::Request(asked.with(Statement { bytes, whole, wait }), open));
-                        }
-                        rejected = Some((
-                            SqlState::SYNTAX_ERROR,
-                            "no class of this site, or an id in use".to_owned(),
-                        ));
-                    }
-                    Ok(StatementKind::Empty) => write::empty_query_response(out),
-                    Ok(StatementKind::SessionCommand(command)) => write::command_complete(out, command),
-                    Ok(StatementKind::Unsupported) => {
-                        rejected = Some((
-                            SqlState::FEATURE_NOT_SUPPORTED,
-                            "only requests with their comment are routed".to_owned(),
-                        ));
-                    }
-                    Err(error) => rejected = Some((SqlState::SYNTAX_ERROR, error.to_string())),
-                }
-            }
-            b'X' => return Ok(Command::End),
-            b'S' => {}
-            b'P' | b'B' | b'E' | b'D' | b'C' | b'H' | b'F' => {
-                rejected =
-                    Some((SqlState::FEATURE_NOT_SUPPORTED, "only simple queries are spoken here".to_owned()));
-            }
-            b'd' | b'c' | b'f' => {}
-            _ => return Err(ProtocolError::Malformed("message type").into()),
+    /// Executes a command and sends its response; `out` is an empty buffer for it.
+    async fn execute(
+        &mut self,
+        command: Command<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<ControlFlow<ClosedBy>, ClientError> {
+        match command {
+            Command::Request(request) => return self.execute_request(request, out).await,
+            Command::Rejected(error) => return self.reject(error, out).await,
+            Command::Terminate => return Ok(ControlFlow::Break(ClosedBy::Client)),
+            Command::Ignored => return Ok(ControlFlow::Continue(())),
+            Command::EmptyQuery => write::empty_query_response(out),
+            Command::SessionSetting(command_tag) => write::command_complete(out, command_tag),
+            Command::Sync => self.skip_until_sync = false,
         }
-        self.buffer.consume(size);
-        Ok(rejected.map_or(Command::Answered, |(code, words)| Command::Rejected(code, words)))
+        write::ready_for_query(out);
+        self.connection.send(&[out]).await?;
+        Ok(ControlFlow::Continue(()))
     }
 
-    /// Serves a request and writes its one answer; false if the connection ends with it.
-    async fn request(
+    async fn execute_request(
         &mut self,
-        asked: Asked<Statement>,
-        id: &str,
+        routed: RoutedRequest<'_>,
         out: &mut Vec<u8>,
-    ) -> Result<bool, ClientError> {
-        let Self { frontend, stream, buffer, session, ahead, .. } = self;
-        // Only what is asked now is cancelled, not what comes behind it.
-        let cancelled = session.cancelled.listen();
-        let left = async {
-            ahead.until_closed(stream, buffer).await;
-            Cut::ClientLeft
-        };
-        let cancelled = async {
-            cancelled.await;
-            Cut::Cancelled
-        };
-        let ending = async {
-            frontend.life.ending.raised().await;
-            Cut::ProcessEnds
-        };
-        let answer = serve(&frontend.driver, &*frontend.pool, &asked, or(left, or(cancelled, ending))).await;
-        let (class, need) = &frontend.classes[asked.class.0];
-        let in_doubt = match &answer {
-            Final::Failed { at } | Final::Cancelled { at } | Final::Gone { at } => {
-                at.as_ref().filter(|_| *need == Operation::Write)
-            }
-            _ => None,
+    ) -> Result<ControlFlow<ClosedBy>, ClientError> {
+        let RoutedRequest { request, id } = routed;
+        self.connection.enter_phase(SessionPhase::Established);
+        let response = if self.context.shutdown_stages.ending.is_up() {
+            // There is no time left to serve what waited behind other requests until now.
+            self.context.counters.taken.add();
+            self.context.counters.refused.add();
+            Final::Refused(None)
+        } else {
+            serve_request(self.context, &mut self.connection, &self.registration, request, id.as_str()).await
         };
-        if let Some(at) = in_doubt {
-            frontend.doubts.add(id, class, Some(at.clone()), frontend.driver.clock.now());
-        }
-        self.buffer.reuse(asked.query.bytes);
-        self.ahead.kept(self.buffer.data().len());
-        self.answer(answer, out).await
+        let flow = send_final_response(&self.connection, response, out).await?;
+        // Until the client has its final response, no other request may use the id.
+        drop(id);
+        Ok(flow)
     }
 
-    /// Writes the one answer to a request; false if the connection ends with it.
-    async fn answer(&self, answer: Final<Reply>, out: &mut Vec<u8>) -> Result<bool, ClientError> {
-        let ends = matches!(answer, Final::Gone { .. });
-        let severity = if ends { Severity::Fatal } else { Severity::Error };
-        let (code, words, detail) = match answer {
-            Final::Served(reply) => {
-                write::ready_for_query(out);
-                let pieces: Vec<&[u8]> = reply.pieces().chain([out.as_slice()]).collect();
-                self.send(&pieces).await?;
-                return Ok(true);
-            }
-            Final::Refused(retry_after) => {
-                (SqlState::TOO_MANY_CONNECTIONS, REFUSED, retry_after.map(retry_after_field))
-            }
-            // It may have closed its own side only, and listen.
-            Final::Gone { at: None } => (SqlState::TOO_MANY_CONNECTIONS, REFUSED, None),
-            Final::Failed { .. } | Final::Gone { .. } => {
-                (SqlState::TRANSACTION_RESOLUTION_UNKNOWN, "no answer; it may have been carried out", None)
-            }
-            Final::Cancelled { .. } => (SqlState::QUERY_CANCELED, "canceled by its client", None),
-        };
-        write::error_response(out, severity, code, words, detail.as_deref());
-        if !ends {
+    /// Rejects a command that is not served.
+    async fn reject(
+        &mut self,
+        error: ErrorReply,
+        out: &mut Vec<u8>,
+    ) -> Result<ControlFlow<ClosedBy>, ClientError> {
+        self.context.counters.rejected.add();
+        self.rejected_commands += 1;
+        if self.rejected_commands >= MAX_REJECTED_COMMANDS {
+            self.connection.close_with_error(error).await?;
+            return Ok(ControlFlow::Break(ClosedBy::Client));
+        }
+        error.write(out, Severity::Error);
+        self.skip_until_sync = matches!(error, ErrorReply::OnlySimpleQueries);
+        if !self.skip_until_sync {
             write::ready_for_query(out);
         }
-        self.send(&[out]).await?;
-        Ok(!ends)
-    }
-}
-
-/// When to come back, as the field D of an error has it.
-fn retry_after_field(after: TimeDelta) -> String {
-    after.0.max(0).unsigned_abs().div_ceil(1_000).to_string()
-}
-
-/// The id of a request that is open, given free when it is dropped: nobody else may use it meanwhile.
-struct OpenId {
-    frontend: Rc<Frontend>,
-    id: Box<str>,
-}
-
-impl OpenId {
-    /// `None` if a request with this id is open.
-    fn enter(frontend: &Rc<Frontend>, id: &str) -> Option<Self> {
-        let id: Box<str> = id.into();
-        let new = frontend.open_ids.borrow_mut().insert(id.clone());
-        new.then(|| Self { frontend: frontend.clone(), id })
-    }
-}
-
-impl Drop for OpenId {
-    fn drop(&mut self) {
-        self.frontend.open_ids.borrow_mut().remove(&self.id);
-    }
-}
-
-impl Frontend {
-    /// The request that a statement makes that came so long ago; `None` if its class is unknown.
-    fn asked(
-        &self,
-        statement: &str,
-        comment: &protocol::RequestComment<'_>,
-        waited: Duration,
-    ) -> Option<Asked<()>> {
-        let at = self.classes.iter().position(|(name, _)| name == comment.class)?;
-        let span = |time: Duration| TimeDelta(i64::try_from(time.as_micros()).unwrap_or(i64::MAX));
-        let longest = span(self.longest_deadline);
-        let keyed =
-            matches!(self.classes[at].1, Operation::Write | Operation::Read(Consistency::ReadYourWrites));
-        let session = protocol::first_quoted_literal(statement).filter(|_| keyed).map(|key| {
-            let mut hasher = DefaultHasher::new();
-            key.hash(&mut hasher);
-            SessionKey(hasher.finish())
-        });
-        Some(Asked {
-            class: ClassId(at),
-            session,
-            group: GroupId(comment.group),
-            deadline: self.driver.clock.now() - span(waited)
-                + TimeDelta((comment.timeout_ms * 1_000.0) as i64).min(longest),
-            last_write: comment.last_write_ms.map(|ms| Timestamp((ms * 1_000.0) as i64)),
-            query: (),
-        })
-    }
-}
-
-impl Asked<()> {
-    fn with(self, query: Statement) -> Asked<Statement> {
-        let Self { class, session, group, deadline, last_write, .. } = self;
-        Asked { class, session, group, deadline, last_write, query }
+        self.connection.send(&[out]).await?;
+        if !self.connection.pause(REJECTION_PAUSE).await {
+            return Ok(ControlFlow::Break(ClosedBy::Pooler));
+        }
+        Ok(ControlFlow::Continue(()))
     }
 }
--- a/crates/proxy/src/client/session_keys.rs
+++ b/crates/proxy/src/client/session_keys.rs
@@ -1,54 +1,66 @@
-//! The sessions of clients, by the keys with which these can cancel what they ask.
+//! The open sessions by the keys with which clients cancel their requests.
 
 use crate::protocol::BackendKeyData;
-use event_listener::Event as Bell;
+use event_listener::{Event, EventListener};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Rc;
 
-/// The sessions that are open, by their keys.
+/// The keys of all open sessions.
 #[derive(Debug, Default)]
-pub(crate) struct Sessions {
-    /// Makes secrets that nobody can guess.
+pub(crate) struct SessionKeys {
+    /// Generates secrets that cannot be guessed.
     secrets: RandomState,
-    open: RefCell<HashMap<BackendKeyData, Rc<Bell>>>,
+    sessions: RefCell<HashMap<BackendKeyData, Rc<Event>>>,
 }
 
-impl Sessions {
-    /// Opens the session of this number; it is told of by the bell.
-    pub(crate) fn enter(&self, number: u64) -> Session<'_> {
-        let [.., process] = halves(number);
-        let [secret, ..] = halves(self.secrets.hash_one(number));
-        let id = BackendKeyData { process_id: process, secret_key: secret };
-        let cancelled = Rc::new(Bell::new());
-        self.open.borrow_mut().insert(id, cancelled.clone());
-        Session { sessions: self, id, cancelled }
+impl SessionKeys {
+    /// Registers the session with this number until the guard is dropped.
+    pub(crate) fn register(&self, session_number: u64) -> RegisteredSession<'_> {
+        let (_, process_id) = split_halves(session_number);
+        let (secret_key, _) = split_halves(self.secrets.hash_one(session_number));
+        let key = BackendKeyData { process_id, secret_key };
+        let cancelled = Rc::new(Event::new());
+        self.sessions.borrow_mut().insert(key, cancelled.clone());
+        RegisteredSession { keys: self, key, cancelled }
     }
 
-    /// Cancels what a session asks at the moment, if it asks anything.
-    pub(crate) fn cancel(&self, id: BackendKeyData) {
-        if let Some(bell) = self.open.borrow().get(&id) {
-            bell.notify(usize::MAX);
+    /// Cancels the request that the session with this key has in flight, if there is one.
+    pub(crate) fn cancel(&self, key: BackendKeyData) {
+        if let Some(cancelled) = self.sessions.borrow().get(&key) {
+            cancelled.notify(usize::MAX);
         }
     }
 }
 
 /// The upper and the lower half of a number.
-fn halves(number: u64) -> [u32; 2] {
+fn split_halves(number: u64) -> (u32, u32) {
     let [a, b, c, d, e, f, g, h] = number.to_be_bytes();
-    [u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h])]
+    (u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h]))
 }
 
-/// A client's session; it can be cancelled until it is dropped.
-pub(crate) struct Session<'a> {
-    sessions: &'a Sessions,
-    pub(crate) id: BackendKeyData,
-    pub(crate) cancelled: Rc<Bell>,
+/// A session that can be cancelled by its key until this is dropped.
+pub(crate) struct RegisteredSession<'a> {
+    keys: &'a SessionKeys,
+    key: BackendKeyData,
+    cancelled: Rc<Event>,
 }
 
-impl Drop for Session<'_> {
+impl RegisteredSession<'_> {
+    /// The session's key.
+    pub(crate) fn key(&self) -> BackendKeyData {
+        self.key
+    }
+
+    /// Completes at the next cancellation; earlier ones have no effect on it.
+    pub(crate) fn next_cancellation(&self) -> EventListener {
+        self.cancelled.listen()
+    }
+}
+
+impl Drop for RegisteredSession<'_> {
     fn drop(&mut self) {
-        self.sessions.open.borrow_mut().remove(&self.id);
+        self.keys.sessions.borrow_mut().remove(&self.key);
     }
 }
--- /dev/null
+++ b/crates/proxy/src/client/startup.rs
@@ -0,0 +1,68 @@
+//! The startup of a client's connection: encryption requests, cancel requests, and the start of a session.
+
+use crate::client::connection::{ClientConnection, ReadOutcome, SessionPhase};
+use crate::client::connection_slots::Admission;
+use crate::client::context::ClientContext;
+use crate::client::errors::{ClientError, ErrorReply};
+use crate::protocol::{BackendKeyData, StartupMessage, parse_startup_message, write};
+
+/// The response to SSLRequest and GSSENCRequest: no encryption.
+const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
+/// Room for the messages that start a session.
+const SESSION_START_CAPACITY: usize = 256;
+
+/// What a connection was opened for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum StartupOutcome {
+    /// A session, which has begun.
+    SessionStarted,
+    /// No session: the connection is done with.
+    Done,
+}
+
+/// Goes through the startup of a connection.
+pub(super) async fn start_session(
+    context: &ClientContext,
+    connection: &mut ClientConnection<'_>,
+    key: BackendKeyData,
+    admission: Admission,
+) -> Result<StartupOutcome, ClientError> {
+    if await_session_start(context, connection).await? == StartupOutcome::Done {
+        return Ok(StartupOutcome::Done);
+    }
+    if admission == Admission::Rejected {
+        context.counters.crowded_out.add();
+        let error = ErrorReply::TooManyClients { retry_after: context.full_retry_after };
+        connection.close_with_error(error).await?;
+        return Ok(StartupOutcome::Done);
+    }
+    connection.enter_phase(SessionPhase::Silent);
+    let mut out = Vec::with_capacity(SESSION_START_CAPACITY);
+    write::session_start(&mut out, key);
+    connection.send(&[&out]).await?;
+    Ok(StartupOutcome::SessionStarted)
+}
+
+/// Reads startup messages until one starts a session.
+async fn await_session_start(
+    context: &ClientContext,
+    connection: &mut ClientConnection<'_>,
+) -> Result<StartupOutcome, ClientError> {
+    loop {
+        let Some((message, size)) = parse_startup_message(connection.buffer().data())? else {
+            if connection.read_more().await? != ReadOutcome::BytesRead {
+                return Ok(StartupOutcome::Done);
+            }
+            continue;
+        };
+        connection.buffer().consume(size);
+        match message {
+            StartupMessage::EncryptionRequest => connection.send(&[ENCRYPTION_NOT_SUPPORTED]).await?,
+            StartupMessage::CancelRequest(key) => {
+                context.session_keys.cancel(key);
+                return Ok(StartupOutcome::Done);
+            }
+            StartupMessage::SessionStart => return Ok(StartupOutcome::SessionStarted),
+        }
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -15,9 +15,13 @@
 
 use crate::config::Config;
 use async_executor::LocalExecutor;
-use client::connection_slots::Slots;
-use client::in_doubt_writes::Doubts;
-use client::{accept, read_ahead, session_keys};
+use client::accept;
+use client::connection_slots::{ConnectionSlots, SlotLimits};
+use client::context::{ClientContext, RequestClass};
+use client::in_doubt_writes::InDoubtWrites;
+use client::open_request_ids::OpenRequestIds;
+use client::read_ahead::ReadAheadBudget;
+use client::session_keys::SessionKeys;
 use discovery::endpoint_directory::{Feed, Members};
 use discovery::watch::{self, Follower, Pauses, Source};
 use lifecycle::reload::Reloader;
@@ -29,7 +33,6 @@
 use router_handle::Driver;
 use server::health_checks;
 use server::pool::Pool;
-use std::cell::RefCell;
 use std::fmt::Display;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -75,8 +78,12 @@
         let members = Rc::new(Members::default());
         let executor = Rc::new(LocalExecutor::new());
         let (probes, wanted) = async_channel::unbounded();
-        let classes =
-            config.settings.classes.iter().map(|class| (class.name.clone(), class.operation)).collect();
+        let classes = config
+            .settings
+            .classes
+            .iter()
+            .map(|class| RequestClass { name: class.name.clone(), operation: class.operation })
+            .collect();
         let pauses = Pauses::new(config.seed, config.settings.router_count, config.host.shared_discovery);
         let full_retry_after = config
             .settings
@@ -92,28 +99,31 @@
         let pool = Rc::new(Pool::new(driver.clone(), members.clone(), config.host, most_upstream));
         let source = Rc::new(Source::new(config.discovery));
         let feed = Feed::new(members, driver.clone());
-        let slots = Slots::new(shared - most_upstream - spare_clients, spare_clients, config.sockets / 4);
-        let slots = Rc::new(slots);
-        let doubts = Rc::new(Doubts::default());
-        shown.add(doubts.clone());
+        let slots = Rc::new(ConnectionSlots::new(SlotLimits {
+            clients: shared - most_upstream - spare_clients,
+            rejected: spare_clients,
+            established: config.sockets / 4,
+        }));
+        let in_doubt_writes = Rc::new(InDoubtWrites::default());
+        shown.add(in_doubt_writes.clone());
         let reloader = Rc::new(Reloader::new(config_file, source.clone(), counters.clone()));
         let shutdown = Shutdown { life: life.clone(), slots: slots.clone(), longest_deadline };
         let handler =
             signals::Handler { executor: executor.clone(), shown: shown.clone(), reloader, shutdown };
-        let frontend = accept::Frontend {
+        let client_context = ClientContext {
             executor: executor.clone(),
-            driver: driver.clone(),
+            router: driver.clone(),
             pool: pool.clone(),
             counters: counters.clone(),
-            life: life.clone(),
+            shutdown_stages: life.clone(),
             slots,
             classes,
-            doubts,
+            in_doubt_writes,
             longest_deadline,
-            open_ids: RefCell::default(),
-            sessions: session_keys::Sessions::default(),
+            open_request_ids: OpenRequestIds::default(),
+            session_keys: SessionKeys::default(),
             full_retry_after,
-            ahead: Rc::new(read_ahead::Shared::new(SCRATCH)),
+            read_ahead: Rc::new(ReadAheadBudget::new(SCRATCH)),
         };
 
         // The list last held comes first: a pooler serves from it while discovery is down.
@@ -128,7 +138,7 @@
         executor.spawn(async move { b.run_upkeep().await }).detach();
         executor.spawn(health_checks::run(executor.clone(), driver, pool, wanted)).detach();
         executor.spawn(watch::run(follower, config.known.generation, pauses)).detach();
-        executor.spawn(accept::run(Rc::new(frontend), listener)).detach();
+        executor.spawn(accept::run(Rc::new(client_context), listener)).detach();
         Ok(Self { executor, life, shown, feed, name: config.name, listening })
     }
 
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,7 +1,7 @@
 //! The planned end: the pooler serves on while there is time, then closes clients as they fall idle, and ends when none
 //! is left or the time is over.
 
-use crate::client::connection_slots::Slots;
+use crate::client::connection_slots::ConnectionSlots;
 use crate::lifecycle::stages::Life;
 use async_io::Timer;
 use std::rc::Rc;
@@ -62,7 +62,7 @@
     /// How far the pooler's life has come.
     pub(crate) life: Rc<Life>,
     /// The clients' slots: who is still there.
-    pub(crate) slots: Rc<Slots>,
+    pub(crate) slots: Rc<ConnectionSlots>,
     /// The longest deadline of any class.
     pub(crate) longest_deadline: Duration,
 }
@@ -73,7 +73,7 @@
         let started = Instant::now();
         let schedule = Schedule::new(self.longest_deadline);
         self.life.draining.raise();
-        tracing::info!("draining with {} clients connected", self.slots.taken());
+        tracing::info!("draining with {} clients connected", self.slots.in_use());
         Timer::at(started + schedule.closing).await;
         self.life.closing.raise();
         Timer::at(started + schedule.not_accepting).await;
@@ -86,7 +86,7 @@
 
     /// Waits until no client is left, or until then.
     async fn clients_left(&self, limit: Instant) {
-        while self.slots.taken() > 0 && Instant::now() < limit {
+        while self.slots.in_use() > 0 && Instant::now() < limit {
             Timer::after(LOOK).await;
         }
     }
--- a/crates/proxy/src/protocol/message.rs
+++ b/crates/proxy/src/protocol/message.rs
@@ -7,7 +7,7 @@
 /// The size of the length word, which counts itself.
 pub(super) const LENGTH_SIZE: usize = 4;
 /// The size of a message without its body.
-pub(super) const HEADER_SIZE: usize = TAG_SIZE + LENGTH_SIZE;
+pub const HEADER_SIZE: usize = TAG_SIZE + LENGTH_SIZE;
 
 /// A complete message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -25,7 +25,7 @@
 pub use frontend::{
     BackendKeyData, StartupMessage, parse_frontend_message, parse_query, parse_startup_message,
 };
-pub use message::Message;
+pub use message::{HEADER_SIZE, Message};
 pub use query_response::{QueryResponse, ResponsePart};
 pub use query_skipper::QuerySkipper;
 pub use server_status::{ServerStatus, parse_load_report};
