--- a/crates/pooler/tests/support/client.rs
+++ b/crates/pooler/tests/support/client.rs
@@ -1,7 +1,7 @@
 //! A client of the pooler.
 
 use super::{MessageStream, PoolerProcess, query_bytes, startup_bytes};
-use pooler_proxy::protocol as pg;
+use pooler_proxy::protocol;
 use std::net::{Shutdown, TcpStream};
 
 /// A response up to ReadyForQuery, or to the end of the connection.
@@ -84,7 +84,7 @@
         while let Some((tag, body)) = self.stream.read_message() {
             response.tags.push(char::from(tag));
             match tag {
-                b'D' => response.value = pg::row_value(&body).unwrap().map(<[u8]>::to_vec),
+                b'D' => response.value = protocol::parse_data_row(&body).unwrap().map(<[u8]>::to_vec),
                 b'E' => response.read_error(&body),
                 b'Z' => break,
                 _ => {}
--- a/crates/pooler/tests/support/fake_server.rs
+++ b/crates/pooler/tests/support/fake_server.rs
@@ -1,7 +1,7 @@
 //! Fake PostgreSQL servers whose responses a test scripts.
 
 use super::{ANY_POSITION_MS, Gate, MessageStream, listen};
-use pooler_proxy::protocol as pg;
+use pooler_proxy::protocol;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -147,7 +147,7 @@
     on_accept();
     stream.write_welcome();
     while let Some((b'Q', body)) = stream.read_message() {
-        let statement = pg::query_text(&body).unwrap();
+        let statement = protocol::parse_query(&body).unwrap();
         if !statement.is_empty() && !statement.starts_with("SHOW") {
             received.lock().unwrap().push(statement.to_owned());
         }
--- a/crates/pooler/tests/support/message_stream.rs
+++ b/crates/pooler/tests/support/message_stream.rs
@@ -1,7 +1,7 @@
 //! One end of a connection that speaks PostgreSQL's messages.
 
 use super::PATIENCE;
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, BackendKeyData, SqlState, write};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
@@ -43,7 +43,7 @@
     /// Reads a startup message; false if the stream ends first.
     pub fn read_startup(&mut self) -> bool {
         loop {
-            if let Some((_, size)) = pg::startup(&self.unread).unwrap() {
+            if let Some((_, size)) = protocol::parse_startup_message(&self.unread).unwrap() {
                 self.unread.drain(..size);
                 return true;
             }
@@ -56,7 +56,7 @@
     /// The tag and body of the next message; `None` once the other side has closed.
     pub fn read_message(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
-            if let Some(message) = pg::message(&self.unread).unwrap() {
+            if let Some(message) = protocol::parse_frontend_message(&self.unread).unwrap() {
                 let (tag, body, size) = (message.tag, message.body.to_vec(), message.size);
                 self.unread.drain(..size);
                 return Some((tag, body));
@@ -80,20 +80,26 @@
         row.extend_from_slice(&u32::try_from(value.len()).unwrap().to_be_bytes());
         row.extend_from_slice(value);
         push_message(&mut out, b'D', &row);
-        write::complete(&mut out, "SELECT 1");
+        write::command_complete(&mut out, "SELECT 1");
         for (name, value) in [("part", role), ("caught_up_to", position_ms)] {
             push_message(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
         }
-        write::ready(&mut out);
+        write::ready_for_query(&mut out);
         self.write_bytes(&out);
     }
 
     /// Writes an error response with the server's role.
     pub fn write_error(&mut self, sql_state: &str, role: &str) {
         let mut out = Vec::new();
-        write::error(&mut out, write::Severity::Error, sql_state, "scripted", None);
+        write::error_response(
+            &mut out,
+            write::Severity::Error,
+            SqlState::try_from(sql_state).unwrap(),
+            "scripted",
+            None,
+        );
         push_message(&mut out, b'S', format!("part\0{role}\0").as_bytes());
-        write::ready(&mut out);
+        write::ready_for_query(&mut out);
         self.write_bytes(&out);
     }
 
@@ -105,15 +111,15 @@
     /// Writes what a server sends once it has accepted a connection.
     pub fn write_welcome(&mut self) {
         let mut out = Vec::new();
-        write::welcome(&mut out, 1, 1);
+        write::session_start(&mut out, BackendKeyData { process_id: 1, secret_key: 1 });
         self.write_bytes(&out);
     }
 
     /// Answers an empty query.
     pub fn write_empty_response(&mut self) {
         let mut out = Vec::new();
-        write::empty_query(&mut out);
-        write::ready(&mut out);
+        write::empty_query_response(&mut out);
+        write::ready_for_query(&mut out);
         self.write_bytes(&out);
     }
 
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -1,9 +1,12 @@
 //! Assembles a pooler: creates its parts from the configuration, connects them, and starts their tasks.
 
-use crate::client::accept::{self, Frontend};
-use crate::client::connection_slots::Slots;
-use crate::client::in_doubt_writes::Doubts;
-use crate::client::{read_ahead, session_keys};
+use crate::client::accept;
+use crate::client::connection_slots::{ConnectionSlots, SlotLimits};
+use crate::client::context::{ClientContext, RequestClass};
+use crate::client::in_doubt_writes::InDoubtWrites;
+use crate::client::open_request_ids::OpenRequestIds;
+use crate::client::read_ahead::ReadAheadBudget;
+use crate::client::session_keys::SessionKeys;
 use crate::config::Config;
 use crate::discovery::address::DiscoveryAddress;
 use crate::discovery::backoff::Backoff;
@@ -22,7 +25,6 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use pooler_routing::{EndpointId, Router, Settings, TimeDelta};
-use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -63,7 +65,7 @@
             .map_err(|error| StartError::Listen(config.listen, error))?;
         let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
         parts.signal_handler(config, config_file).start().map_err(StartError::Signals)?;
-        parts.spawn_tasks(parts.frontend(config), health_checks, watcher, listener);
+        parts.spawn_tasks(parts.client_context(config), health_checks, watcher, listener);
         let Parts { executor, stages, status_report, updates, .. } = parts;
         Ok(Self { executor, stages, status_report, updates, listening })
     }
@@ -77,8 +79,8 @@
     stages: Rc<ShutdownStages>,
     router: Rc<RouterHandle>,
     pool: Rc<Pool>,
-    slots: Rc<Slots>,
-    in_doubt_writes: Rc<Doubts>,
+    slots: Rc<ConnectionSlots>,
+    in_doubt_writes: Rc<InDoubtWrites>,
     discovery: Rc<DiscoveryAddress>,
     updates: EndpointUpdates,
 }
@@ -93,8 +95,12 @@
         let directory = Rc::new(EndpointDirectory::default());
         let budget = SocketBudget::new(config.sockets);
         let pool = Pool::new(router.clone(), directory.clone(), config.proxy.clone(), budget.servers);
-        let slots = Slots::new(budget.clients, budget.rejected_clients, budget.active_clients);
-        let in_doubt_writes = Rc::new(Doubts::default());
+        let slots = ConnectionSlots::new(SlotLimits {
+            clients: budget.clients,
+            rejected: budget.rejected_clients,
+            established: budget.established_clients,
+        });
+        let in_doubt_writes = Rc::new(InDoubtWrites::default());
         let status_report = Rc::new(StatusReport::new(counters.clone()));
         status_report.add_section(in_doubt_writes.clone());
         let parts = Self {
@@ -125,34 +131,34 @@
             reloader: Rc::new(Reloader::new(config_file, self.discovery.clone(), self.counters.clone())),
             shutdown: Shutdown {
                 stages: self.stages.clone(),
-                connected_clients: Box::new(move || slots.taken()),
+                connected_clients: Box::new(move || slots.in_use()),
                 longest_deadline: config.proxy.longest_deadline,
             },
         }
     }
 
-    fn frontend(&self, config: &Config) -> Frontend {
+    fn client_context(&self, config: &Config) -> ClientContext {
         let classes = &config.settings.classes;
-        Frontend {
+        ClientContext {
             executor: self.executor.clone(),
             router: self.router.clone(),
             pool: self.pool.clone(),
             counters: self.counters.clone(),
-            stages: self.stages.clone(),
+            shutdown_stages: self.stages.clone(),
             slots: self.slots.clone(),
-            classes: classes.iter().map(|class| (class.name.clone(), class.operation)).collect(),
-            doubts: self.in_doubt_writes.clone(),
+            classes: classes.iter().map(request_class).collect(),
+            in_doubt_writes: self.in_doubt_writes.clone(),
             longest_deadline: config.proxy.longest_deadline,
-            open_ids: RefCell::default(),
-            sessions: session_keys::Sessions::default(),
+            open_request_ids: OpenRequestIds::default(),
+            session_keys: SessionKeys::default(),
             full_retry_after: no_slot_retry_after(&config.settings),
-            ahead: Rc::new(read_ahead::Shared::new(DISCARD_BUFFER_SIZE)),
+            read_ahead: Rc::new(ReadAheadBudget::new(DISCARD_BUFFER_SIZE)),
         }
     }
 
     fn spawn_tasks(
         &self,
-        frontend: Frontend,
+        client_context: ClientContext,
         health_checks: async_channel::Receiver<EndpointId>,
         watcher: Watcher,
         listener: Async<TcpListener>,
@@ -165,10 +171,15 @@
             health_checks::run(executor.clone(), router.clone(), pool.clone(), health_checks);
         executor.spawn(health_checker).detach();
         executor.spawn(watcher.run()).detach();
-        executor.spawn(accept::run(Rc::new(frontend), listener)).detach();
+        executor.spawn(accept::run(Rc::new(client_context), listener)).detach();
     }
 }
 
+/// A request class as the client side knows it.
+fn request_class(class: &pooler_routing::RequestClass) -> RequestClass {
+    RequestClass { name: class.name.clone(), operation: class.operation }
+}
+
 /// When a client retries for which there was no slot; `None` where clients are not told.
 fn no_slot_retry_after(settings: &Settings) -> Option<TimeDelta> {
     settings.retry_after_allowed.then(|| NO_SLOT_RETRY_AFTER.min(settings.max_retry_after))
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -205,7 +205,7 @@
 
     /// Reads once; the count is 0 at the end of the connection.
     async fn fill(&mut self) -> io::Result<usize> {
-        self.buffer.rest();
+        self.buffer.shrink_if_empty();
         within_silence_timeout(self.buffer.fill(&self.stream)).await
     }
 }
--- a/crates/proxy/src/server/attempt.rs
+++ b/crates/proxy/src/server/attempt.rs
@@ -1,7 +1,7 @@
 //! How far an attempt has come, why it ended without a response, and the outcome that the router is told.
 
 use super::sqlstate::connection_error_outcome;
-use crate::protocol::{Code, PgError};
+use crate::protocol::{ProtocolError, SqlState};
 use crate::resource_exhaustion::is_resource_exhaustion;
 use pooler_routing::AttemptOutcome;
 use std::io;
@@ -59,7 +59,7 @@
     DeadlineExpired,
     /// The server turned the connection away.
     #[error("server error {0:?}")]
-    ServerError(Code),
+    ServerError(SqlState),
 }
 
 impl AttemptError {
@@ -85,8 +85,8 @@
     }
 }
 
-impl From<PgError> for AttemptError {
-    fn from(_: PgError) -> Self {
+impl From<ProtocolError> for AttemptError {
+    fn from(_: ProtocolError) -> Self {
         Self::ConnectionLost
     }
 }
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -4,8 +4,8 @@
 use super::connection::Connection;
 use super::pool::Pool;
 use super::response::{self, ServerResponse};
-use super::statement::{ClientStatement, QueryResponse};
-use crate::protocol as pg;
+use super::statement::{ClientStatement, ForwardedResponse};
+use crate::protocol::write;
 use crate::request::{AttemptContext, AttemptResult, AttemptTransport};
 use async_io::Timer;
 use futures_lite::future::or;
@@ -38,13 +38,13 @@
         match self {
             Self::LoadReport => {
                 let mut query = Vec::with_capacity(32);
-                pg::write::query(&mut query, LOAD_REPORT_QUERY);
+                write::query(&mut query, LOAD_REPORT_QUERY);
                 connection.write(&[&query]).await
             }
             Self::Statement { statement, .. } => {
                 let timeout = timeout.as_millis().max(1).to_string();
                 let (before, after) = (statement.before_timeout(), statement.after_timeout());
-                let head = pg::write::query_head(before.len() + timeout.len() + after.len());
+                let head = write::query_header(before.len() + timeout.len() + after.len());
                 connection.write(&[&head, before, timeout.as_bytes(), after]).await
             }
         }
@@ -129,7 +129,7 @@
 
 impl AttemptTransport for Pool {
     type Query = ClientStatement;
-    type Response = QueryResponse;
+    type Response = ForwardedResponse;
 
     async fn attempt(
         &self,
@@ -137,13 +137,13 @@
         statement: &ClientStatement,
         timeout: Duration,
         context: &AttemptContext<'_>,
-    ) -> AttemptResult<QueryResponse> {
+    ) -> AttemptResult<ForwardedResponse> {
         let query = Query::Statement { statement, context };
         let Exchange { mut connection, response } = match exchange(self, endpoint, query, timeout).await {
             Ok(exchange) => exchange,
             Err(outcome) => return AttemptResult::without_response(outcome),
         };
-        let ServerResponse { outcome, notes, messages, size, ready_for_query, .. } = response;
+        let ServerResponse { outcome, server_status, messages, size, ready_for_query, .. } = response;
         let response = if outcome == AttemptOutcome::Ok {
             Some(detach_response(&mut connection, &messages, size))
         } else {
@@ -153,14 +153,14 @@
         if ready_for_query {
             self.release(endpoint, connection);
         }
-        let load_report = notes.report(self.load_report_fields());
-        AttemptResult { outcome, metadata: notes.note(), load_report, response }
+        let load_report = server_status.load_report(self.load_report_fields());
+        AttemptResult { outcome, metadata: server_status.response_metadata(), load_report, response }
     }
 }
 
 /// Takes a response out of its connection, with the buffer that it stands in.
-fn detach_response(connection: &mut Connection, messages: &[Range<usize>], size: usize) -> QueryResponse {
+fn detach_response(connection: &mut Connection, messages: &[Range<usize>], size: usize) -> ForwardedResponse {
     let (buffer, detached) = connection.detach(size);
     let moved = |message: &Range<usize>| message.start + detached.start..message.end + detached.start;
-    QueryResponse::new(buffer, messages.iter().map(moved).collect())
+    ForwardedResponse::new(buffer, messages.iter().map(moved).collect())
 }
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -3,12 +3,15 @@
 use super::attempt::AttemptError;
 use super::connection::Connection;
 use super::sqlstate::statement_error_outcome;
-use crate::protocol::{self as pg, Notes, Part, PgError};
+use crate::protocol::{
+    MAX_VALUE_SIZE, ProtocolError, QueryResponse, ResponsePart, ServerStatus, backend_tag,
+    parse_backend_message,
+};
 use pooler_routing::AttemptOutcome;
 use std::ops::Range;
 
 /// No response takes up more than this, notices and all.
-const MAX_RESPONSE_SIZE: usize = 2 * pg::LONGEST_VALUE;
+const MAX_RESPONSE_SIZE: usize = 2 * MAX_VALUE_SIZE;
 
 /// What was read up to ReadyForQuery, or until the server ended the connection. It stands in the connection's buffer
 /// still, whose ranges are given.
@@ -16,7 +19,7 @@
     /// The outcome of the attempt.
     pub(super) outcome: AttemptOutcome,
     /// What the server said of itself beside the response.
-    pub(super) notes: Notes,
+    pub(super) server_status: ServerStatus,
     /// The messages of the response.
     pub(super) messages: Vec<Range<usize>>,
     /// The value of the row.
@@ -42,7 +45,7 @@
         }
         match connection.fill().await {
             Ok(1..) => {}
-            Ok(0) | Err(_) if reader.parser.whole() => break,
+            Ok(0) | Err(_) if reader.parser.is_complete() => break,
             _ => return Err(AttemptError::ConnectionLost),
         }
     }
@@ -52,7 +55,7 @@
 /// The part of a response that has been read so far.
 #[derive(Default)]
 struct ResponseReader {
-    parser: pg::Answer,
+    parser: QueryResponse,
     messages: Vec<Range<usize>>,
     value: Option<Range<usize>>,
     /// The size of the messages that have been read.
@@ -62,20 +65,20 @@
 
 impl ResponseReader {
     /// Reads the complete messages in `data` from the current position on; true at the end of the response.
-    fn read_buffered(&mut self, data: &[u8]) -> Result<bool, PgError> {
-        while let Some(message) = pg::server_message(&data[self.position..])? {
+    fn read_buffered(&mut self, data: &[u8]) -> Result<bool, ProtocolError> {
+        while let Some(message) = parse_backend_message(&data[self.position..])? {
             let range = self.position..self.position + message.size;
             self.position = range.end;
-            match self.parser.take(&message)? {
-                Part::Value(size) => {
-                    if message.tag == b'D' {
-                        self.value = Some(range.end - size..range.end);
+            match self.parser.accept(&message)? {
+                ResponsePart::Forward { value_size } => {
+                    if message.tag == backend_tag::DATA_ROW {
+                        self.value = Some(range.end - value_size..range.end);
                     }
                     self.add_message(range);
                 }
-                Part::Aside => {}
-                Part::Fatal => return Ok(true),
-                Part::Ready => {
+                ResponsePart::Ignore => {}
+                ResponsePart::Fatal => return Ok(true),
+                ResponsePart::Ready => {
                     self.ready_for_query = true;
                     return Ok(true);
                 }
@@ -94,8 +97,8 @@
 
     fn into_response(self) -> ServerResponse {
         ServerResponse {
-            outcome: self.parser.failed().map_or(AttemptOutcome::Ok, statement_error_outcome),
-            notes: self.parser.into_notes(),
+            outcome: self.parser.error_code().map_or(AttemptOutcome::Ok, statement_error_outcome),
+            server_status: self.parser.into_server_status(),
             messages: self.messages,
             value: self.value,
             size: self.position,
--- a/crates/proxy/src/server/statement.rs
+++ b/crates/proxy/src/server/statement.rs
@@ -25,14 +25,14 @@
     }
 }
 
-/// A server's response, in the buffer that it was read into.
+/// A server's response that is forwarded to the client, in the buffer that it was read into.
 #[derive(Debug)]
-pub struct QueryResponse {
+pub struct ForwardedResponse {
     buffer: Vec<u8>,
     messages: Vec<Range<usize>>,
 }
 
-impl QueryResponse {
+impl ForwardedResponse {
     /// The response whose messages stand in these parts of the buffer.
     pub(super) fn new(buffer: Vec<u8>, messages: Vec<Range<usize>>) -> Self {
         Self { buffer, messages }
--- a/crates/proxy/src/socket_budget.rs
+++ b/crates/proxy/src/socket_budget.rs
@@ -14,7 +14,7 @@
     /// Connections of clients that are rejected, beyond these.
     pub rejected_clients: usize,
     /// Clients that have made a request, beyond which the idle among them make room.
-    pub active_clients: usize,
+    pub established_clients: usize,
     /// Connections to servers.
     pub servers: usize,
 }
@@ -30,7 +30,7 @@
         Self {
             clients: shared - servers - rejected_clients,
             rejected_clients,
-            active_clients: sockets / 4,
+            established_clients: sockets / 4,
             servers,
         }
     }
