--- a/crates/proxy/src/client/accept.rs
+++ b/crates/proxy/src/client/accept.rs
@@ -3,7 +3,7 @@
 use crate::client::connection_slots::{Admission, EvictionClass};
 use crate::client::context::ClientContext;
 use crate::client::session::ClientSession;
-use crate::server::pool::shortage;
+use crate::resource_exhaustion::is_resource_exhaustion;
 use async_io::{Async, Timer};
 use futures_lite::future::{or, poll_once, yield_now};
 use std::io;
@@ -34,7 +34,7 @@
     loop {
         let accepted = async { Some(accept_one(&context, &listener).await) };
         let not_accepting = async {
-            context.shutdown_stages.not_accepting.raised().await;
+            context.shutdown_stages.not_accepting.wait().await;
             None
         };
         match or(accepted, not_accepting).await {
@@ -65,13 +65,13 @@
 
 /// Pauses after an error, so that one that lasts keeps the accept loop neither busy nor from going on.
 async fn pause_after_error(context: &ClientContext, error: &io::Error) {
-    if !shortage(error) {
+    if !is_resource_exhaustion(error) {
         // The client gave up before it was accepted.
         Timer::after(ERROR_PAUSE).await;
         return;
     }
     // Closing an idle connection frees a descriptor.
-    context.counters.short.add();
+    context.counters.resource_waits.increment();
     if !context.pool.close_one_idle() {
         context.slots.evict_one(EvictionClass::Closing..=EvictionClass::Idle);
     }
@@ -79,7 +79,7 @@
 }
 
 fn spawn_session(context: &Rc<ClientContext>, stream: Async<TcpStream>, admission: Admission) {
-    context.counters.clients.add();
+    context.counters.client_connections.increment();
     // With Nagle's algorithm, a response held back until the one before is acknowledged would be lost with a connection
     // that breaks. Where the option can't be set the connection is closed already, which its first read reports.
     let _ = stream.get_ref().set_nodelay(true);
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -125,18 +125,18 @@
         let stages = &self.context.shutdown_stages;
         // A client that makes its next request as soon as it has a response would otherwise go on until the process ends
         // in the middle of one.
-        if is_between_commands && stages.ending.is_up() {
+        if is_between_commands && stages.terminating.is_set() {
             return Ok(ReadOutcome::Closed(ClosedBy::Pooler));
         }
         self.buffer.shrink_if_empty();
         let deadline = self.command_deadline(is_between_commands);
-        let shutdown_stage = if is_between_commands { &stages.closing } else { &stages.ending };
+        let shutdown_stage = if is_between_commands { &stages.closing_idle } else { &stages.terminating };
         let timeout = async {
             sleep_until(deadline).await;
             Ok(ReadOutcome::Closed(ClosedBy::Pooler))
         };
         let shutdown = async {
-            shutdown_stage.raised().await;
+            shutdown_stage.wait().await;
             Ok(ReadOutcome::Closed(ClosedBy::Pooler))
         };
         let read = read_once(&self.stream, &mut self.buffer, &mut self.read_ahead);
@@ -179,7 +179,7 @@
     pub(super) async fn finish(&mut self, closed_by: ClosedBy) -> Result<(), ClientError> {
         // The rest of a command that has begun may be on its way, so its client receives an error.
         if closed_by == ClosedBy::Pooler && self.has_partial_command() {
-            self.context.counters.rejected.add();
+            self.context.counters.rejected_statements.increment();
             return self.close_with_error(ErrorReply::ConnectionEnding).await;
         }
         // A client that has made no request has no response to lose.
@@ -216,7 +216,7 @@
         let timeout = async {
             Timer::after(linger).await;
         };
-        let work = or(closed_by_client, or(timeout, self.context.shutdown_stages.ended.raised()));
+        let work = or(closed_by_client, or(timeout, self.context.shutdown_stages.terminated.wait()));
         self.slot.while_evictable(EvictionClass::Closing, Instant::now(), work).await;
         Ok(())
     }
--- a/crates/proxy/src/client/connection_slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -6,7 +6,7 @@
 //! evicts none but its own. Clients that have made requests are limited as well: where each client may hold only so many
 //! connections, those that make one request and keep their connections would leave none for others.
 
-use crate::latch::Flag;
+use crate::latch::Latch;
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future::or;
@@ -80,7 +80,7 @@
     last_number: Cell<u64>,
     freed: Event,
     /// The connections that can be evicted; the latch tells their tasks.
-    evictable: RefCell<BTreeMap<EvictionKey, Rc<Flag>>>,
+    evictable: RefCell<BTreeMap<EvictionKey, Rc<Latch>>>,
     /// How many of them are silent.
     silent: Cell<usize>,
     /// No connection is older than this.
@@ -151,7 +151,7 @@
         let Some(key) = oldest else { return false };
         if let Some(evicted) = self.remove_evictable(key) {
             self.in_use.set(self.in_use.get() - 1);
-            evicted.raise();
+            evicted.set();
         }
         true
     }
@@ -168,14 +168,14 @@
         EvictionKey { class, since: self.created_at, slot_number: 0 }
     }
 
-    fn insert_evictable(&self, key: EvictionKey, evicted: Rc<Flag>) {
+    fn insert_evictable(&self, key: EvictionKey, evicted: Rc<Latch>) {
         self.evictable.borrow_mut().insert(key, evicted);
         if key.class == EvictionClass::Silent {
             self.silent.set(self.silent.get() + 1);
         }
     }
 
-    fn remove_evictable(&self, key: EvictionKey) -> Option<Rc<Flag>> {
+    fn remove_evictable(&self, key: EvictionKey) -> Option<Rc<Latch>> {
         let evicted = self.evictable.borrow_mut().remove(&key);
         if evicted.is_some() && key.class == EvictionClass::Silent {
             self.silent.set(self.silent.get() - 1);
@@ -219,11 +219,11 @@
         // An evicted client that is still here, to close in order, holds a descriptor until it is evicted again.
         self.reclaim();
         let key = EvictionKey { class, since, slot_number: self.number };
-        let evicted = Rc::new(Flag::default());
+        let evicted = Rc::new(Latch::default());
         self.slots.insert_evictable(key, evicted.clone());
         let guard = EvictableGuard { slot: self, key, evicted };
         let work = or(async { Some(work.await) }, async {
-            guard.evicted.raised().await;
+            guard.evicted.wait().await;
             None
         });
         let result = work.await;
@@ -255,12 +255,12 @@
 struct EvictableGuard<'a> {
     slot: &'a Slot<'a>,
     key: EvictionKey,
-    evicted: Rc<Flag>,
+    evicted: Rc<Latch>,
 }
 
 impl Drop for EvictableGuard<'_> {
     fn drop(&mut self) {
         self.slot.slots.remove_evictable(self.key);
-        self.slot.evicted.set(self.evicted.is_up());
+        self.slot.evicted.set(self.evicted.is_set());
     }
 }
--- a/crates/proxy/src/client/context.rs
+++ b/crates/proxy/src/client/context.rs
@@ -5,9 +5,9 @@
 use crate::client::open_request_ids::OpenRequestIds;
 use crate::client::read_ahead::ReadAheadBudget;
 use crate::client::session_keys::SessionKeys;
-use crate::lifecycle::stages::Life;
+use crate::lifecycle::stages::ShutdownStages;
 use crate::metrics::Counters;
-use crate::router_handle::Driver;
+use crate::router_handle::RouterHandle;
 use crate::server::pool::Pool;
 use async_executor::LocalExecutor;
 use pooler_routing::{ClassId, Operation, TimeDelta};
@@ -28,13 +28,13 @@
     /// Runs the sessions' tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     /// The router.
-    pub(crate) router: Rc<Driver>,
+    pub(crate) router: Rc<RouterHandle>,
     /// The connections to the servers.
     pub(crate) pool: Rc<Pool>,
     /// The metrics.
     pub(crate) counters: Rc<Counters>,
     /// The stages of the shutdown.
-    pub(crate) shutdown_stages: Rc<Life>,
+    pub(crate) shutdown_stages: Rc<ShutdownStages>,
     /// The slots of the client connections.
     pub(crate) slots: Rc<ConnectionSlots>,
     /// The request classes, in the order of their ids.
--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -6,8 +6,9 @@
 use crate::client::open_request_ids::OpenRequestId;
 use crate::client::session_keys::RegisteredSession;
 use crate::protocol::{HEADER_SIZE, RequestComment, first_quoted_literal};
-use crate::request::{Asked, Cut, Final, serve};
-use crate::server::pool::{Reply, Statement};
+use crate::request::{AbortReason, ClientRequest, FinalResponse, serve};
+use crate::server::statement::{ClientStatement, QueryResponse};
+use crate::time_conversion::to_time_delta;
 use futures_lite::future::or;
 use pooler_routing::{
     ClassId, Consistency, EndpointId, GroupId, Operation, SessionKey, TimeDelta, Timestamp,
@@ -21,14 +22,14 @@
 /// A request with its statement, ready to be routed.
 pub(super) struct RoutedRequest<'a> {
     /// The request.
-    pub(super) request: Asked<Statement>,
+    pub(super) request: ClientRequest<ClientStatement>,
     /// Its id, which is in use until the request has its final response.
     pub(super) id: OpenRequestId<'a>,
 }
 
 /// A request whose statement is still in the read buffer.
 pub(super) struct UnsentRequest<'a> {
-    request: Asked<()>,
+    request: ClientRequest<()>,
     id: OpenRequestId<'a>,
     /// Where the digits of the timeout are in the statement.
     timeout_digits: Range<usize>,
@@ -45,7 +46,7 @@
         let class = context.class_id(comment.class)?;
         let id = context.open_request_ids.reserve(comment.request_id)?;
         let operation = context.class(class).operation;
-        let request = Asked {
+        let request = ClientRequest {
             class,
             session: session_key(operation, statement),
             group: GroupId(comment.group),
@@ -59,12 +60,12 @@
     /// Takes the statement out of the buffer, where it is the message of `size` bytes at the front.
     pub(super) fn take_statement(self, buffer: &mut ReadBuffer, size: usize) -> RoutedRequest<'a> {
         let Self { request, id, timeout_digits } = self;
-        let (bytes, message) = buffer.detach(size);
-        let whole = message.start + HEADER_SIZE..message.end;
-        let wait = timeout_digits.start + whole.start..timeout_digits.end + whole.start;
-        let Asked { class, session, group, deadline, last_write, query: () } = request;
-        let query = Statement { bytes, whole, wait };
-        RoutedRequest { request: Asked { class, session, group, deadline, last_write, query }, id }
+        let (buffer, message) = buffer.detach(size);
+        let text = message.start + HEADER_SIZE..message.end;
+        let timeout_digits = text.start + timeout_digits.start..text.start + timeout_digits.end;
+        let ClientRequest { class, session, group, deadline, last_write, query: () } = request;
+        let query = ClientStatement { buffer, text, timeout_digits };
+        RoutedRequest { request: ClientRequest { class, session, group, deadline, last_write, query }, id }
     }
 }
 
@@ -84,11 +85,7 @@
 fn deadline(context: &ClientContext, timeout_ms: f64, arrival_time: Option<Instant>) -> Timestamp {
     let waited = arrival_time.map_or(Duration::ZERO, |arrival| arrival.elapsed());
     let timeout = TimeDelta((timeout_ms * MICROS_PER_MILLI) as i64);
-    context.router.clock.now() - time_delta(waited) + timeout.min(time_delta(context.longest_deadline))
-}
-
-fn time_delta(duration: Duration) -> TimeDelta {
-    TimeDelta(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
+    context.router.now() - to_time_delta(waited) + timeout.min(to_time_delta(context.longest_deadline))
 }
 
 /// Routes a request and waits for its final response. It is abandoned when the client closes its connection or cancels
@@ -97,46 +94,53 @@
     context: &ClientContext,
     connection: &mut ClientConnection<'_>,
     session: &RegisteredSession<'_>,
-    request: Asked<Statement>,
+    request: ClientRequest<ClientStatement>,
     request_id: &str,
-) -> Final<Reply> {
+) -> FinalResponse<QueryResponse> {
     // A cancellation concerns the request in flight, and none that follows it.
     let cancellation = session.next_cancellation();
     let client_closed = async {
         connection.read_until_closed().await;
-        Cut::ClientLeft
+        AbortReason::ClientDisconnected
     };
     let cancelled = async {
         cancellation.await;
-        Cut::Cancelled
+        AbortReason::CancelRequested
     };
     let shutdown = async {
-        context.shutdown_stages.ending.raised().await;
-        Cut::ProcessEnds
+        context.shutdown_stages.terminating.wait().await;
+        AbortReason::Shutdown
     };
     let abort = or(client_closed, or(cancelled, shutdown));
     let response = serve(&context.router, &*context.pool, &request, abort).await;
     record_if_in_doubt(context, request.class, request_id, &response);
-    connection.reuse_command_buffer(request.query.bytes);
+    connection.reuse_command_buffer(request.query.buffer);
     response
 }
 
 /// Records a write that may have run without a response.
-fn record_if_in_doubt(context: &ClientContext, class: ClassId, request_id: &str, response: &Final<Reply>) {
+fn record_if_in_doubt(
+    context: &ClientContext,
+    class: ClassId,
+    request_id: &str,
+    response: &FinalResponse<QueryResponse>,
+) {
     let class = context.class(class);
     if class.operation != Operation::Write {
         return;
     }
     if let Some(endpoint) = may_have_run_at(response) {
-        let now = context.router.clock.now();
+        let now = context.router.now();
         context.in_doubt_writes.record(request_id, &class.name, Some(endpoint.clone()), now);
     }
 }
 
 /// The last endpoint that may have run a request without a response.
-fn may_have_run_at(response: &Final<Reply>) -> Option<&EndpointId> {
+fn may_have_run_at(response: &FinalResponse<QueryResponse>) -> Option<&EndpointId> {
     match response {
-        Final::Failed { at } | Final::Cancelled { at } | Final::Gone { at } => at.as_ref(),
-        Final::Served(_) | Final::Refused(_) => None,
+        FinalResponse::Failed { in_doubt_at }
+        | FinalResponse::Cancelled { in_doubt_at }
+        | FinalResponse::ClientDisconnected { in_doubt_at } => in_doubt_at.as_ref(),
+        FinalResponse::Served(_) | FinalResponse::Rejected(_) => None,
     }
 }
--- a/crates/proxy/src/client/responses.rs
+++ b/crates/proxy/src/client/responses.rs
@@ -4,8 +4,8 @@
 use crate::client::errors::{ClientError, ErrorReply};
 use crate::metrics::Counters;
 use crate::protocol::write::{self, Severity};
-use crate::request::Final;
-use crate::server::pool::Reply;
+use crate::request::FinalResponse;
+use crate::server::statement::QueryResponse;
 use std::ops::ControlFlow;
 
 /// The number of rejected commands whose responses are sent together.
@@ -14,19 +14,21 @@
 /// Sends the final response to a request; `out` is an empty buffer for it.
 pub(super) async fn send_final_response(
     connection: &ClientConnection<'_>,
-    response: Final<Reply>,
+    response: FinalResponse<QueryResponse>,
     out: &mut Vec<u8>,
 ) -> Result<ControlFlow<ClosedBy>, ClientError> {
-    let is_disconnected = matches!(response, Final::Gone { .. });
+    let is_disconnected = matches!(response, FinalResponse::ClientDisconnected { .. });
     let error = match response {
-        Final::Served(reply) => {
-            send_reply(connection, &reply, out).await?;
+        FinalResponse::Served(response) => {
+            send_reply(connection, &response, out).await?;
             return Ok(ControlFlow::Continue(()));
         }
-        Final::Refused(retry_after) => ErrorReply::RequestRejected { retry_after },
-        Final::Gone { at: None } => ErrorReply::RequestRejected { retry_after: None },
-        Final::Failed { .. } | Final::Gone { .. } => ErrorReply::RequestFailed,
-        Final::Cancelled { .. } => ErrorReply::RequestCancelled,
+        FinalResponse::Rejected(retry_after) => ErrorReply::RequestRejected { retry_after },
+        FinalResponse::ClientDisconnected { in_doubt_at: None } => {
+            ErrorReply::RequestRejected { retry_after: None }
+        }
+        FinalResponse::Failed { .. } | FinalResponse::ClientDisconnected { .. } => ErrorReply::RequestFailed,
+        FinalResponse::Cancelled { .. } => ErrorReply::RequestCancelled,
     };
     // A client that has closed its sending side may still be reading.
     if is_disconnected {
@@ -40,14 +42,14 @@
     Ok(ControlFlow::Continue(()))
 }
 
-/// Sends a server's reply, followed by ReadyForQuery.
+/// Sends a server's response, followed by ReadyForQuery.
 async fn send_reply(
     connection: &ClientConnection<'_>,
-    reply: &Reply,
+    response: &QueryResponse,
     out: &mut Vec<u8>,
 ) -> Result<(), ClientError> {
     write::ready_for_query(out);
-    let pieces: Vec<&[u8]> = reply.pieces().chain([out.as_slice()]).collect();
+    let pieces: Vec<&[u8]> = response.messages().chain([out.as_slice()]).collect();
     connection.send(&pieces).await
 }
 
@@ -61,7 +63,7 @@
     while remaining > 0 {
         let mut out = Vec::new();
         for _ in 0..remaining.min(REJECTIONS_PER_WRITE) {
-            counters.rejected.add();
+            counters.rejected_statements.increment();
             ErrorReply::TooManyCommandsAhead.write(&mut out, Severity::Error);
             write::ready_for_query(&mut out);
         }
--- a/crates/proxy/src/client/session.rs
+++ b/crates/proxy/src/client/session.rs
@@ -12,7 +12,7 @@
 use crate::client::startup::{StartupOutcome, start_session};
 use crate::protocol::write::{self, Severity};
 use crate::protocol::{frontend_tag, parse_frontend_message};
-use crate::request::Final;
+use crate::request::FinalResponse;
 use async_io::Async;
 use futures_lite::future::yield_now;
 use std::net::TcpStream;
@@ -54,7 +54,7 @@
         match self.serve(admission).await {
             Ok(closed_by) => self.connection.finish(closed_by).await,
             Err(ClientError::Protocol(error)) => {
-                self.context.counters.rejected.add();
+                self.context.counters.rejected_statements.increment();
                 self.connection.close_with_error(ErrorReply::ProtocolViolation(error)).await
             }
             Err(error) => Err(error),
@@ -141,11 +141,11 @@
     ) -> Result<ControlFlow<ClosedBy>, ClientError> {
         let RoutedRequest { request, id } = routed;
         self.connection.enter_phase(SessionPhase::Established);
-        let response = if self.context.shutdown_stages.ending.is_up() {
+        let response = if self.context.shutdown_stages.terminating.is_set() {
             // There is no time left to serve what waited behind other requests until now.
-            self.context.counters.taken.add();
-            self.context.counters.refused.add();
-            Final::Refused(None)
+            self.context.counters.requests.increment();
+            self.context.counters.rejected.increment();
+            FinalResponse::Rejected(None)
         } else {
             serve_request(self.context, &mut self.connection, &self.registration, request, id.as_str()).await
         };
@@ -161,7 +161,7 @@
         error: ErrorReply,
         out: &mut Vec<u8>,
     ) -> Result<ControlFlow<ClosedBy>, ClientError> {
-        self.context.counters.rejected.add();
+        self.context.counters.rejected_statements.increment();
         self.rejected_commands += 1;
         if self.rejected_commands >= MAX_REJECTED_COMMANDS {
             self.connection.close_with_error(error).await?;
--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -31,7 +31,7 @@
         return Ok(StartupOutcome::Done);
     }
     if admission == Admission::Rejected {
-        context.counters.crowded_out.add();
+        context.counters.rejected_connections.increment();
         let error = ErrorReply::TooManyClients { retry_after: context.full_retry_after };
         connection.close_with_error(error).await?;
         return Ok(StartupOutcome::Done);
--- a/crates/proxy/src/protocol/query_response.rs
+++ b/crates/proxy/src/protocol/response_parser.rs
@@ -9,7 +9,7 @@
 /// The state of one response: RowDescription of one column, one DataRow and CommandComplete, or an ErrorResponse;
 /// ReadyForQuery ends both. Any other sequence is an error, and nothing of such a response counts.
 #[derive(Clone, Debug, Default)]
-pub struct QueryResponse {
+pub struct ResponseParser {
     state: ResponseState,
     server_status: ServerStatus,
 }
@@ -41,7 +41,7 @@
     Ready,
 }
 
-impl QueryResponse {
+impl ResponseParser {
     /// Accepts the next message.
     ///
     /// # Errors
--- a/crates/proxy/tests/parsers.rs
+++ b/crates/proxy/tests/parsers.rs
@@ -16,7 +16,7 @@
         let _ = (protocol::parse_startup_message(&data), protocol::parse_query(&data), protocol::parse_error_response(&data));
         let _ = (protocol::parse_parameter_status(&data), protocol::parse_data_row(&data), http::head(&data), http::chunk(&data));
         if let Ok(Some(message)) = protocol::parse_backend_message(&data) {
-            let _ = protocol::QueryResponse::default().accept(&message);
+            let _ = protocol::ResponseParser::default().accept(&message);
         }
         let text = String::from_utf8_lossy(&data);
         let _ = (protocol::classify_statement(&text), protocol::first_quoted_literal(&text), protocol::parse_load_report(&text, &[]));
@@ -69,7 +69,7 @@
             'N' => b"\0".to_vec(),
             _ => b"I".to_vec(),
         };
-        let mut answer = protocol::QueryResponse::default();
+        let mut answer = protocol::ResponseParser::default();
         let mut passed = 0;
         let ended = tags.chars().map(|tag| {
             let body = body(tag);
