--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -7,7 +7,7 @@
 use crate::client::session_keys::RegisteredSession;
 use crate::protocol::{HEADER_SIZE, RequestComment, first_quoted_literal};
 use crate::request::{AbortReason, ClientRequest, FinalResponse, serve};
-use crate::server::statement::{ClientStatement, ForwardedResponse};
+use crate::server::statement::{ClientStatement, QueryResponse};
 use crate::time_conversion::to_time_delta;
 use futures_lite::future::or;
 use pooler_routing::{
@@ -62,7 +62,7 @@
         let Self { request, id, timeout_digits } = self;
         let (buffer, message) = buffer.detach(size);
         let text = message.start + HEADER_SIZE..message.end;
-        let timeout_digits = timeout_digits.start + text.start..timeout_digits.end + text.start;
+        let timeout_digits = text.start + timeout_digits.start..text.start + timeout_digits.end;
         let ClientRequest { class, session, group, deadline, last_write, query: () } = request;
         let query = ClientStatement { buffer, text, timeout_digits };
         RoutedRequest { request: ClientRequest { class, session, group, deadline, last_write, query }, id }
@@ -96,7 +96,7 @@
     session: &RegisteredSession<'_>,
     request: ClientRequest<ClientStatement>,
     request_id: &str,
-) -> FinalResponse<ForwardedResponse> {
+) -> FinalResponse<QueryResponse> {
     // A cancellation concerns the request in flight, and none that follows it.
     let cancellation = session.next_cancellation();
     let client_closed = async {
@@ -123,7 +123,7 @@
     context: &ClientContext,
     class: ClassId,
     request_id: &str,
-    response: &FinalResponse<ForwardedResponse>,
+    response: &FinalResponse<QueryResponse>,
 ) {
     let class = context.class(class);
     if class.operation != Operation::Write {
@@ -136,7 +136,7 @@
 }
 
 /// The last endpoint that may have run a request without a response.
-fn may_have_run_at(response: &FinalResponse<ForwardedResponse>) -> Option<&EndpointId> {
+fn may_have_run_at(response: &FinalResponse<QueryResponse>) -> Option<&EndpointId> {
     match response {
         FinalResponse::Failed { in_doubt_at }
         | FinalResponse::Cancelled { in_doubt_at }
--- a/crates/proxy/src/client/responses.rs
+++ b/crates/proxy/src/client/responses.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Counters;
 use crate::protocol::write::{self, Severity};
 use crate::request::FinalResponse;
-use crate::server::statement::ForwardedResponse;
+use crate::server::statement::QueryResponse;
 use std::ops::ControlFlow;
 
 /// The number of rejected commands whose responses are sent together.
@@ -14,13 +14,13 @@
 /// Sends the final response to a request; `out` is an empty buffer for it.
 pub(super) async fn send_final_response(
     connection: &ClientConnection<'_>,
-    response: FinalResponse<ForwardedResponse>,
+    response: FinalResponse<QueryResponse>,
     out: &mut Vec<u8>,
 ) -> Result<ControlFlow<ClosedBy>, ClientError> {
     let is_disconnected = matches!(response, FinalResponse::ClientDisconnected { .. });
     let error = match response {
-        FinalResponse::Served(reply) => {
-            send_reply(connection, &reply, out).await?;
+        FinalResponse::Served(response) => {
+            send_reply(connection, &response, out).await?;
             return Ok(ControlFlow::Continue(()));
         }
         FinalResponse::Rejected(retry_after) => ErrorReply::RequestRejected { retry_after },
@@ -42,14 +42,14 @@
     Ok(ControlFlow::Continue(()))
 }
 
-/// Sends a server's reply, followed by ReadyForQuery.
+/// Sends a server's response, followed by ReadyForQuery.
 async fn send_reply(
     connection: &ClientConnection<'_>,
-    reply: &ForwardedResponse,
+    response: &QueryResponse,
     out: &mut Vec<u8>,
 ) -> Result<(), ClientError> {
     write::ready_for_query(out);
-    let pieces: Vec<&[u8]> = reply.messages().chain([out.as_slice()]).collect();
+    let pieces: Vec<&[u8]> = response.messages().chain([out.as_slice()]).collect();
     connection.send(&pieces).await
 }
 
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -10,8 +10,8 @@
 mod frontend;
 pub mod frontend_tag;
 mod message;
-mod query_response;
 mod query_skipper;
+mod response_parser;
 mod server_status;
 mod sql_state;
 mod statement;
@@ -26,8 +26,8 @@
     BackendKeyData, StartupMessage, parse_frontend_message, parse_query, parse_startup_message,
 };
 pub use message::{HEADER_SIZE, Message};
-pub use query_response::{QueryResponse, ResponsePart};
 pub use query_skipper::QuerySkipper;
+pub use response_parser::{ResponseParser, ResponsePart};
 pub use server_status::{ServerStatus, parse_load_report};
 pub use sql_state::{InvalidSqlState, SqlState};
 pub use statement::{RequestComment, StatementKind, classify_statement, first_quoted_literal};
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -4,7 +4,7 @@
 use super::connection::Connection;
 use super::pool::Pool;
 use super::response::{self, ServerResponse};
-use super::statement::{ClientStatement, ForwardedResponse};
+use super::statement::{ClientStatement, QueryResponse};
 use crate::protocol::write;
 use crate::request::{AttemptContext, AttemptResult, AttemptTransport};
 use async_io::Timer;
@@ -129,7 +129,7 @@
 
 impl AttemptTransport for Pool {
     type Query = ClientStatement;
-    type Response = ForwardedResponse;
+    type Response = QueryResponse;
 
     async fn attempt(
         &self,
@@ -137,7 +137,7 @@
         statement: &ClientStatement,
         timeout: Duration,
         context: &AttemptContext<'_>,
-    ) -> AttemptResult<ForwardedResponse> {
+    ) -> AttemptResult<QueryResponse> {
         let query = Query::Statement { statement, context };
         let Exchange { mut connection, response } = match exchange(self, endpoint, query, timeout).await {
             Ok(exchange) => exchange,
@@ -159,8 +159,8 @@
 }
 
 /// Takes a response out of its connection, with the buffer that it stands in.
-fn detach_response(connection: &mut Connection, messages: &[Range<usize>], size: usize) -> ForwardedResponse {
+fn detach_response(connection: &mut Connection, messages: &[Range<usize>], size: usize) -> QueryResponse {
     let (buffer, detached) = connection.detach(size);
     let moved = |message: &Range<usize>| message.start + detached.start..message.end + detached.start;
-    ForwardedResponse::new(buffer, messages.iter().map(moved).collect())
+    QueryResponse::new(buffer, messages.iter().map(moved).collect())
 }
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -4,7 +4,7 @@
 use super::connection::Connection;
 use super::sqlstate::statement_error_outcome;
 use crate::protocol::{
-    MAX_VALUE_SIZE, ProtocolError, QueryResponse, ResponsePart, ServerStatus, backend_tag,
+    MAX_VALUE_SIZE, ProtocolError, ResponseParser, ResponsePart, ServerStatus, backend_tag,
     parse_backend_message,
 };
 use pooler_routing::AttemptOutcome;
@@ -55,7 +55,7 @@
 /// The part of a response that has been read so far.
 #[derive(Default)]
 struct ResponseReader {
-    parser: QueryResponse,
+    parser: ResponseParser,
     messages: Vec<Range<usize>>,
     value: Option<Range<usize>>,
     /// The size of the messages that have been read.
--- a/crates/proxy/src/server/statement.rs
+++ b/crates/proxy/src/server/statement.rs
@@ -25,14 +25,14 @@
     }
 }
 
-/// A server's response that is forwarded to the client, in the buffer that it was read into.
+/// A server's response, in the buffer that it was read into.
 #[derive(Debug)]
-pub struct ForwardedResponse {
+pub struct QueryResponse {
     buffer: Vec<u8>,
     messages: Vec<Range<usize>>,
 }
 
-impl ForwardedResponse {
+impl QueryResponse {
     /// The response whose messages stand in these parts of the buffer.
     pub(super) fn new(buffer: Vec<u8>, messages: Vec<Range<usize>>) -> Self {
         Self { buffer, messages }
