--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -29,9 +29,9 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The size of the buffer into which bytes are read that nobody wants.
+/// The size of the buffer for bytes that are read only to be discarded.
 const DISCARD_BUFFER_SIZE: usize = 64 * 1024;
-/// When a client retries for which there was no slot: by then others have been answered.
+/// When a client should retry that found no free slot: by then other clients have been served.
 const NO_SLOT_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(250);
 
 /// Why a pooler can't start.
@@ -45,7 +45,7 @@
     Signals(std::io::Error),
 }
 
-/// What is left to the pooler once its tasks are started.
+/// The parts that the pooler keeps once its tasks are started.
 pub(crate) struct Assembly {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) stages: Rc<ShutdownStages>,
@@ -59,7 +59,7 @@
     pub(crate) fn start(config: &Config, config_file: PathBuf) -> Result<Self, StartError> {
         let (parts, health_checks) = Parts::new(config);
         let watcher = parts.watcher(config);
-        // The list last held comes first: a pooler serves from it while discovery is down.
+        // The endpoint list of the configuration comes first: the pooler serves from it while discovery is down.
         watcher.apply(&config.known);
         let listener = retry_transient(|| accept::listen(config.listen))
             .map_err(|error| StartError::Listen(config.listen, error))?;
@@ -86,7 +86,7 @@
 }
 
 impl Parts {
-    /// The parts, and the receiver of the endpoints whose health is to be checked.
+    /// The parts, and the receiver of the endpoints to check.
     fn new(config: &Config) -> (Self, async_channel::Receiver<EndpointId>) {
         let counters = Rc::new(Counters::default());
         let (health_checks, requested_health_checks) = async_channel::unbounded();
@@ -180,7 +180,7 @@
     RequestClass { name: class.name.clone(), operation: class.operation }
 }
 
-/// When a client retries for which there was no slot; `None` where clients are not told.
+/// When a client should retry that found no free slot; `None` where clients are not told.
 fn no_slot_retry_after(settings: &Settings) -> Option<TimeDelta> {
     settings.retry_after_allowed.then(|| NO_SLOT_RETRY_AFTER.min(settings.max_retry_after))
 }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -23,13 +23,13 @@
         Self { started: Instant::now(), started_unix: EPOCH + to_time_delta(since_epoch) }
     }
 
-    /// The current time.
+    /// The current time, in microseconds since the Unix epoch.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.started_unix + to_time_delta(self.started.elapsed())
     }
 
-    /// The instant of the monotonic clock at which this clock shows `timestamp`; the start, if that is earlier.
+    /// The instant of the monotonic clock at which this clock shows `timestamp`; its start for an earlier timestamp.
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
         self.started + to_duration(timestamp - self.started_unix)
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -6,10 +6,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The descriptors that the process may hold, where the file does not say.
+/// The number of descriptors that the process may open, if the file does not set it.
 const DEFAULT_SOCKETS: usize = 1_024;
 
-/// The file.
+/// The content of the file.
 #[derive(Deserialize)]
 pub(super) struct ConfigDocument {
     #[serde(default)]
@@ -40,7 +40,7 @@
 }
 
 impl ConfigDocument {
-    /// The seed, which is a number or a text of hexadecimal digits; 0 where there is none.
+    /// The seed, given as a number or as hexadecimal digits; 0 if there is none.
     pub(super) fn seed(&self) -> Result<u64, ConfigError> {
         match &self.seed {
             Value::Null => Ok(0),
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -13,7 +13,7 @@
         /// The system's error.
         error: std::io::Error,
     },
-    /// It is not the JSON that was expected; the error has the line and column.
+    /// The file is not the expected JSON; the error names the line and column.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
     /// Something is wrong with the content of a file.
@@ -27,22 +27,22 @@
     /// A setting is missing or unreadable.
     #[error("configuration: {0}")]
     Settings(#[from] SettingsError),
-    /// The process may hold fewer descriptors than a pooler needs.
+    /// The process may open fewer descriptors than a pooler needs.
     #[error("configuration: limits.sockets is {given}, and at least {needed} are needed")]
     TooFewSockets {
-        /// The descriptors that it may hold.
+        /// The configured number of descriptors.
         given: usize,
-        /// The descriptors that it needs.
+        /// The number of descriptors that a pooler needs.
         needed: usize,
     },
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[error("configuration: seed '{0}' is no hexadecimal number")]
     Seed(String),
 }
 
 impl ConfigError {
-    /// Whether the file may be usable a moment later: it could not be read, or breaks off as one does that is just being
-    /// written. What is wrong with a complete file stays wrong.
+    /// Whether the file may be usable shortly afterwards: it could not be read, or is truncated like one that is just
+    /// being written. Errors in a complete file are permanent.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         match self {
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The descriptors that a pooler needs for itself, and for a few clients and servers.
+/// The least number of descriptors with which a pooler can serve a few clients and servers.
 const MIN_SOCKETS: usize = 24;
 
 /// The configuration of a pooler.
@@ -23,19 +23,19 @@
 pub struct Config {
     /// The pooler's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers; `None` where endpoints are known from elsewhere.
+    /// The address of discovery; `None` where another source provides the endpoints.
     pub discovery: Option<SocketAddr>,
     /// The seed of random numbers.
     pub seed: u64,
-    /// The descriptors that the process may hold.
+    /// The number of descriptors that the process may open.
     pub sockets: usize,
-    /// The endpoint list as last held, which is a snapshot.
+    /// The last known endpoint list, a snapshot.
     pub known: EndpointList,
     /// The router's settings.
     pub settings: Settings,
-    /// The settings of the proxy.
+    /// The proxy's settings.
     pub proxy: ProxySettings,
 }
 
@@ -49,7 +49,7 @@
         Self::decode_file(path, std::fs::read_to_string(path))
     }
 
-    /// The same for a start, which retries for a moment while the file can't be read.
+    /// The same during the start of the process, which retries for a while if the file can't be read.
     ///
     /// # Errors
     ///
@@ -93,12 +93,12 @@
     }
 }
 
-/// The router's settings, with what is fixed on sockets.
+/// The router's settings, including those that the proxy determines.
 fn router_settings(map: &SettingsMap) -> Result<Settings, ConfigError> {
     Ok(Settings {
-        // Log positions are Unix times on sockets, and so are the clock's.
+        // Log positions are Unix times in the protocol, as are the clock's timestamps.
         position_epoch: Timestamp(0),
-        // The proxy watches the endpoint list by itself, and has one attempt of a request in flight at a time.
+        // The proxy watches discovery by itself, and keeps one attempt of a request in flight at a time.
         discovery: Discovery::Push,
         hedging_allowed: false,
         ..map.settings()?
--- a/crates/proxy/src/config/proxy_settings.rs
+++ b/crates/proxy/src/config/proxy_settings.rs
@@ -8,21 +8,21 @@
 const DEFAULT_DEADLINE_MS: f64 = 1_000.0;
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 const DEFAULT_SERVER_IDLE_TIMEOUT_MS: f64 = 30_000.0;
-/// The way in which discovery is asked where it is one service for the whole fleet.
+/// The discovery mode in which one service serves the whole fleet.
 const SHARED_DISCOVERY: &str = "ask";
 
 /// The settings that concern the proxy rather than the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
-    /// A connection that is not up after this has failed.
+    /// The time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Servers close connections that are idle for this long.
+    /// The idle time after which servers close a connection.
     pub server_idle_timeout: Duration,
     /// The longest deadline of any class.
     pub longest_deadline: Duration,
-    /// The fields of a load report, by name.
+    /// The fields of a load report, with their names.
     pub load_report_fields: Vec<(String, LoadReportField)>,
-    /// Discovery is one service for the whole fleet, rather than an agent of the pooler's own.
+    /// Whether discovery is one service for the whole fleet, rather than an agent of this pooler.
     pub shared_discovery: bool,
 }
 
--- a/crates/proxy/src/discovery/address.rs
+++ b/crates/proxy/src/discovery/address.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// Where discovery is watched; `None` for nowhere.
+/// The address at which discovery is watched; `None` if it is not.
 #[derive(Debug)]
 pub struct DiscoveryAddress {
     current: Cell<Option<SocketAddr>>,
@@ -12,7 +12,7 @@
 }
 
 impl DiscoveryAddress {
-    /// One that is `address` until it is set anew.
+    /// Starts with `address`.
     #[must_use]
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self { current: Cell::new(address), changed: Event::new() }
@@ -24,14 +24,14 @@
         self.current.get()
     }
 
-    /// Sets the address, and wakes the tasks that wait for a change if it differs.
+    /// Sets the address. If it differs from the current one, tasks that wait for a change are woken.
     pub fn set(&self, address: Option<SocketAddr>) {
         if self.current.replace(address) != address {
             self.changed.notify(usize::MAX);
         }
     }
 
-    /// Listens for the next change from now on.
+    /// Completes at the next change after this call.
     pub fn changed(&self) -> EventListener {
         self.changed.listen()
     }
--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -1,37 +1,37 @@
-//! The pauses between the attempts to open a watch.
+//! Backoff between attempts to open a watch.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
 
-/// The least pause before a watch is opened again.
+/// The shortest pause.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
-/// The window in which a lost watch is opened again where each pooler has an agent of its own: what an agent knows binds
-/// within the grace of a drain, watch or no watch.
+/// The window after a lost watch where each pooler has an agent of its own. It is short because what the agent knows
+/// takes effect after the drain grace, whether or not it was received.
 const AGENT_WINDOW: Duration = Duration::from_millis(60);
-/// The window after a call that never left this machine: it cost discovery nothing.
+/// The window after a call that never left this machine, and so put no load on discovery.
 const NOT_SENT_WINDOW: Duration = Duration::from_millis(40);
-/// The window where discovery is one service for the whole fleet, or has rejected a call: so much for each pooler.
+/// The share of each pooler in the window of the whole fleet.
 const WINDOW_PER_POOLER: Duration = Duration::from_millis(50);
-/// No window is longer than this: it leaves time, after a call that waited two seconds to be rejected, for the next within
-/// 6 s.
+/// The longest window. It leaves time for another call within 6 s of one that waited two seconds to be rejected.
 const MAX_WINDOW: Duration = Duration::from_millis(3_000);
 
-/// How an attempt to watch ended.
+/// How a watch, or the attempt to open one, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
     /// Discovery rejected the call.
     Rejected,
-    /// Nobody was there, or the watch broke or fell silent.
+    /// The connection could not be opened, broke, or fell silent.
     Lost,
     /// This machine had no descriptor, port or memory for the call.
     NotSent,
 }
 
-/// Random pauses within a window. What an agent of the pooler's own machine knows binds at once, so a lost watch is opened
-/// again at once. One service for a whole fleet serves only so many calls a second, and remains overloaded where all
-/// poolers come back together, as calls that have waited too long are rejected: there, and after any rejection, each
-/// pooler picks a moment in a window by the size of the fleet.
+/// Random pauses within a window.
+///
+/// A lost watch at an agent of the pooler's own is reopened almost at once. A service that the whole fleet shares serves a
+/// limited number of calls per second, and rejects calls that have waited too long: if all poolers reconnected together it
+/// would stay overloaded. There, and after any rejection, the window grows with the size of the fleet.
 #[derive(Debug)]
 pub struct Backoff {
     rng: ChaCha8Rng,
@@ -40,8 +40,8 @@
 }
 
 impl Backoff {
-    /// The backoff of one pooler in a fleet of `fleet_size`, which share one discovery service or have an agent each. The
-    /// seed must differ from pooler to pooler.
+    /// The backoff of one pooler in a fleet of `fleet_size` poolers, which share one discovery service or have an agent
+    /// each. The seed must differ between poolers.
     #[must_use]
     pub fn new(seed: u64, fleet_size: u32, shared_service: bool) -> Self {
         let fleet_window = (WINDOW_PER_POOLER * fleet_size).min(MAX_WINDOW);
--- a/crates/proxy/src/discovery/endpoint_directory.rs
+++ b/crates/proxy/src/discovery/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The directory of all endpoints, merged from all sources, and the way in for what these sources report.
+//! The directory of all endpoints, merged from all sources, and the entry point for what the sources report.
 
 use crate::router_handle::RouterHandle;
 use pooler_routing::membership::{Membership, MergeResult, SelfPreservation, SourceId, WatchEvent};
@@ -7,15 +7,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The platform's discovery, which is watched.
+/// The platform's discovery.
 pub const PLATFORM: SourceId = SourceId(0);
 /// A service registry.
 pub const REGISTRY: SourceId = SourceId(1);
 
-/// For how long a removed endpoint is remembered. It bounds what is held of endpoints that came and went; a claim that
-/// is staler than this would count as new.
+/// How long a removed endpoint is remembered. An older claim for a forgotten endpoint would count as new.
 const REMOVED_RETENTION: TimeDelta = TimeDelta::from_millis(15 * 60 * 1_000);
-/// Beyond so many removed endpoints the earliest are forgotten sooner.
+/// The number of removed endpoints that are remembered; beyond it the earliest are forgotten.
 const MAX_REMOVED: usize = 16 * 1024;
 
 /// The endpoints by id.
@@ -29,15 +28,15 @@
 }
 
 impl EndpointDirectory {
-    /// Where an endpoint listens.
+    /// The address of an endpoint, if it is known.
     #[must_use]
     pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         self.0.borrow().get(endpoint).and_then(|resolved| resolved.address)
     }
 }
 
-/// The way in for what a source reports: the directory holds it before the router hears of it, so that nothing is sent
-/// to an endpoint that has just begun to drain.
+/// Applies what the sources report to the directory and then to the router, so that nothing is sent to an endpoint that
+/// has just begun to drain.
 #[derive(Clone)]
 pub struct EndpointUpdates {
     directory: Rc<EndpointDirectory>,
@@ -45,24 +44,24 @@
 }
 
 impl EndpointUpdates {
-    /// The way into this directory and this router.
+    /// Applies updates to this directory and this router.
     #[must_use]
     pub fn new(directory: Rc<EndpointDirectory>, router: Rc<RouterHandle>) -> Self {
         Self { directory, router }
     }
 
-    /// Sets when a source's snapshots are not believed.
+    /// Sets the conditions under which a source's snapshots are distrusted.
     pub fn set_self_preservation(&self, source: SourceId, self_preservation: SelfPreservation) {
         self.directory.0.borrow_mut().set_self_preservation(source, self_preservation);
     }
 
-    /// The time on the clock that sources and router share: Unix time in microseconds.
+    /// The current time on the router's clock: Unix time in microseconds.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.router.now()
     }
 
-    /// Merges a source's event into the directory, and passes what it changes on to the router at once.
+    /// Merges a source's event into the directory, and dispatches the changes to the router at once.
     pub fn apply(&self, source: SourceId, event: WatchEvent) -> MergeResult {
         let result = self.directory.0.borrow_mut().merge(self.now(), source, event);
         if !result.changed.is_empty() {
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The platform's endpoint list: decoded from JSON, and turned into a watch event. Keys that mean nothing here are ignored.
+//! The platform's endpoint list, decoded from JSON and converted to watch events. Unknown keys are ignored.
 
 use pooler_routing::membership::{EndpointClaim, RecordVersion, WatchEvent};
 use pooler_routing::settings::duration_from_millis;
@@ -13,13 +13,13 @@
 /// The platform's name of the role that takes writes.
 const ROLE_PRIMARY: &str = "master";
 
-/// All endpoints, or those that changed since an earlier list.
+/// A list of all endpoints, or of those that changed since an earlier list.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "ListDocument")]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     pub generation: u64,
-    /// Whether it holds all endpoints.
+    /// Whether the list has all endpoints.
     pub is_snapshot: bool,
     /// The endpoints.
     pub endpoints: Vec<ListedEndpoint>,
@@ -28,24 +28,25 @@
 /// One endpoint of a list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// Its id, the same at every pooler and after a restart.
+    /// Its id, which is the same at every pooler and after a restart.
     pub id: EndpointId,
-    /// Where it listens, as far as the list tells; it may differ between poolers.
+    /// Its address, which may differ between poolers; `None` if the list has none that is valid.
     pub address: Option<SocketAddr>,
-    /// Its group, as far as the list tells.
+    /// Its group, if the list has it.
     pub group: Option<GroupId>,
     /// Its zone.
     pub zone: String,
     /// Its lifecycle state.
     pub lifecycle: Lifecycle,
-    /// Whether the list shows it as the primary.
+    /// Whether the list names it as the primary.
     pub primary: bool,
-    /// When it last started, as far as the list tells.
+    /// When it last started, if the list has it.
     pub started_at: Option<Timestamp>,
 }
 
 impl EndpointList {
-    /// What the list reports, as the message of this number. The platform's messages come in order and are believed.
+    /// Converts the list to a watch event. The platform's messages arrive in order, so `message`, their number, is the
+    /// version of all claims.
     #[must_use]
     pub fn watch_event(&self, message: i64) -> WatchEvent {
         let claims = self.endpoints.iter().map(|endpoint| endpoint.claim(message)).collect();
@@ -72,7 +73,7 @@
     }
 }
 
-/// A list as the platform writes it.
+/// The JSON form of a list.
 #[derive(Deserialize)]
 struct ListDocument {
     #[serde(default)]
@@ -83,7 +84,7 @@
     instances: Vec<InstanceDocument>,
 }
 
-/// An endpoint as the platform writes it.
+/// The JSON form of an endpoint.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct InstanceDocument {
@@ -127,7 +128,7 @@
     }
 }
 
-/// The lifecycle state of this name. An endpoint in a state that is not known here gets nothing new, as if it drained.
+/// The lifecycle state of this name. An endpoint in an unknown state is treated as draining: it gets no new work.
 fn lifecycle(name: &str) -> Lifecycle {
     match name {
         LIFECYCLE_ACTIVE => Lifecycle::Active,
--- a/crates/proxy/src/discovery/http.rs
+++ b/crates/proxy/src/discovery/http.rs
@@ -1,72 +1,91 @@
-//! As much of HTTP/1.1 as a chunked answer of one JSON object a line needs. No I/O.
+//! Parses as much of an HTTP/1.1 response as a watch needs: the head, and the chunks of the body. Does no I/O.
 
-/// A head or a chunk longer than this is not read on.
-const LONGEST: usize = 4 * 1024 * 1024;
+/// The largest head or chunk, in bytes.
+const MAX_PART_SIZE: usize = 4 * 1024 * 1024;
+/// The longest line with the size of a chunk, in bytes.
+const MAX_CHUNK_LINE: usize = 64;
+/// The number of characters of an unexpected status line that are reported.
+const MAX_REPORTED_STATUS: usize = 80;
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why an answer can't be followed.
+/// Why a response can't be read any further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// A status other than 200.
+    /// The status is not 200.
     #[error("status {0}")]
     Status(String),
-    /// Not what HTTP has.
+    /// The named part of the response is malformed or too large.
     #[error("malformed {0}")]
     Malformed(&'static str),
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The body comes in chunks.
+    /// Whether the body is sent in chunks.
     pub chunked: bool,
-    /// The bytes that it takes up.
+    /// The size of the head in bytes.
     pub size: usize,
 }
 
-fn line_end(data: &[u8]) -> Option<usize> {
-    data.windows(2).position(|two| two == b"\r\n")
-}
-
-/// The head at the front of `data`; `None` while it is not all there.
+/// Parses the head at the front of `data`; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// When the status is not 200, or there is no end to the head.
+/// When the status is not 200, or the head is malformed or too large.
 pub fn head(data: &[u8]) -> Result<Option<Head>, HttpError> {
-    let Some(end) = data.windows(4).position(|four| four == b"\r\n\r\n") else {
-        return if data.len() > LONGEST { Err(HttpError::Malformed("head")) } else { Ok(None) };
+    let malformed = HttpError::Malformed("head");
+    let Some(end) = find(data, HEAD_END) else {
+        return if data.len() > MAX_PART_SIZE { Err(malformed) } else { Ok(None) };
     };
-    let text = std::str::from_utf8(&data[..end]).map_err(|_| HttpError::Malformed("head"))?;
+    let text = std::str::from_utf8(&data[..end]).map_err(|_| malformed)?;
     let mut lines = text.split("\r\n");
     let status = lines.next().unwrap_or("");
-    if !status.starts_with("HTTP/1.") || status.split(' ').nth(1) != Some("200") {
-        return Err(HttpError::Status(status.chars().take(80).collect()));
+    if !is_success(status) {
+        return Err(HttpError::Status(status.chars().take(MAX_REPORTED_STATUS).collect()));
     }
-    let chunked = lines.filter_map(|line| line.split_once(':')).any(|(name, value)| {
+    let mut headers = lines.filter_map(|line| line.split_once(':'));
+    let chunked = headers.any(|(name, value)| {
         name.eq_ignore_ascii_case("transfer-encoding") && value.to_ascii_lowercase().contains("chunked")
     });
-    Ok(Some(Head { chunked, size: end + 4 }))
+    Ok(Some(Head { chunked, size: end + HEAD_END.len() }))
 }
 
-/// The first chunk in `data` and the bytes that it takes up; `None` while it is not all there. An empty one
-/// ends the body.
+/// Parses the first chunk in `data`, and gives its content and the size of all of it in bytes; `None` while it is
+/// incomplete. An empty chunk ends the body.
 ///
 /// # Errors
 ///
-/// When its size is unreadable or too large.
+/// When the chunk is malformed or too large.
 pub fn chunk(data: &[u8]) -> Result<Option<(&[u8], usize)>, HttpError> {
-    let bad = HttpError::Malformed("chunk");
-    let Some(end) = line_end(&data[..data.len().min(64)]) else {
-        return if data.len() < 64 { Ok(None) } else { Err(bad) };
+    let malformed = HttpError::Malformed("chunk");
+    let Some(line_end) = find(&data[..data.len().min(MAX_CHUNK_LINE)], LINE_END) else {
+        return if data.len() < MAX_CHUNK_LINE { Ok(None) } else { Err(malformed) };
     };
-    let digits = std::str::from_utf8(&data[..end]).map_err(|_| bad.clone())?;
-    let digits = digits.split(';').next().unwrap_or("").trim();
-    let length =
-        usize::from_str_radix(digits, 16).ok().filter(|length| *length <= LONGEST).ok_or(bad.clone())?;
-    let from = end + 2;
-    let Some(rest) = data.get(from..from + length + 2) else { return Ok(None) };
-    if !rest.ends_with(b"\r\n") {
-        return Err(bad);
+    let length = chunk_length(&data[..line_end]).ok_or(malformed.clone())?;
+    let start = line_end + LINE_END.len();
+    let end = start + length;
+    let size = end + LINE_END.len();
+    let Some(trailer) = data.get(end..size) else { return Ok(None) };
+    if trailer != LINE_END {
+        return Err(malformed);
     }
-    Ok(Some((&rest[..length], from + length + 2)))
+    Ok(Some((&data[start..end], size)))
+}
+
+fn is_success(status_line: &str) -> bool {
+    status_line.starts_with("HTTP/1.") && status_line.split(' ').nth(1) == Some("200")
+}
+
+/// The length in the first line of a chunk, without its extensions; `None` if it is malformed or too large.
+fn chunk_length(line: &[u8]) -> Option<usize> {
+    let digits = std::str::from_utf8(line).ok()?.split(';').next()?.trim();
+    let length = usize::from_str_radix(digits, 16).ok()?;
+    (length <= MAX_PART_SIZE).then_some(length)
+}
+
+/// The position of the first occurrence of `pattern`.
+fn find(data: &[u8], pattern: &[u8]) -> Option<usize> {
+    data.windows(pattern.len()).position(|window| window == pattern)
 }
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -1,47 +1,47 @@
 //! Splits a stream of bytes into the JSON objects in it.
 
-/// An object longer than this is no endpoint list.
+/// The largest object, in bytes.
 const MAX_OBJECT_SIZE: usize = 8 * 1024 * 1024;
 
-/// Why a stream is no stream of JSON objects.
+/// Why a stream is not a valid stream of JSON objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonStreamError {
-    /// Something between two objects that is neither an object nor white space.
+    /// A byte between two objects that neither begins an object nor is white space.
     #[error("byte {0} between two lists")]
     UnexpectedByte(u8),
-    /// An empty line in an object: what it belongs to came after an object that broke off.
+    /// An empty line inside an object: a keep-alive followed an object that was truncated.
     #[error("an empty line inside a list")]
     Truncated,
-    /// An object that exceeds the size limit.
+    /// An object exceeds the size limit.
     #[error("a list without an end")]
     TooLong,
 }
 
-/// The JSON objects of a stream, however they are broken into lines. Each byte is looked at once.
+/// Splits a stream into JSON objects, whatever their line breaks. Each byte is scanned once.
 #[derive(Debug, Default)]
 pub struct JsonStream {
     buffer: Vec<u8>,
-    /// How many bytes of the buffer have been looked at.
+    /// The number of bytes in the buffer that have been scanned.
     scanned: usize,
-    /// How many braces are open.
+    /// The number of open braces.
     depth: usize,
     in_string: bool,
     after_backslash: bool,
-    /// Nothing but white space came since the last end of a line.
+    /// Whether the current line has nothing but white space so far.
     line_is_empty: bool,
 }
 
 impl JsonStream {
-    /// Appends what came next.
+    /// Appends the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete object, if there is one. Empty lines between two objects are keep-alives and skipped.
+    /// The next complete object, if there is one. Empty lines between objects are keep-alives, and are skipped.
     ///
     /// # Errors
     ///
-    /// When what came is no stream of objects.
+    /// When the stream is not a valid stream of objects.
     pub fn next_object(&mut self) -> Result<Option<Vec<u8>>, JsonStreamError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -85,7 +85,7 @@
         Ok(false)
     }
 
-    /// Takes all that has been looked at out of the buffer.
+    /// Removes the scanned bytes from the buffer.
     fn split_off_object(&mut self) -> Vec<u8> {
         let rest = self.buffer.split_off(self.scanned);
         self.scanned = 0;
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Watches discovery: each endpoint list is applied as soon as it has been read.
+//! Watches discovery, and applies each endpoint list as soon as it has been read.
 
 use super::address::DiscoveryAddress;
 use super::backoff::{Backoff, WatchEnd};
@@ -17,8 +17,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Keep-alive lines come every 2 s. A watch that misses one is given up and opened anew, since what it would have reported
-/// binds 6 s later, arrived or not: there is time for one further call that is met with silence.
+/// Keep-alives arrive every 2 s. A watch that misses one is closed and reopened: a change takes effect 6 s after it would
+/// have been reported, whether or not it arrived, which leaves time for one more call that gets no response.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Why a watch ended.
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether it is worth a line of the log: an answer that makes no sense is, a lost connection is not.
+    /// Whether the error is logged: a malformed response is, a lost connection is not.
     fn is_reported(&self) -> bool {
         !matches!(self, Self::Io(_))
     }
@@ -55,14 +55,14 @@
     updates: EndpointUpdates,
     counters: Rc<Counters>,
     backoff: Backoff,
-    /// The version of the list that is held: the watch asks for what is later.
+    /// The version of the last list that was applied; a watch requests what follows it.
     generation: Cell<u64>,
-    /// The number of the last message: what comes later is newer.
+    /// The number of the last message, which versions its claims.
     last_message: Cell<i64>,
 }
 
 impl Watcher {
-    /// A watcher that holds no list yet.
+    /// A watcher that has applied no list yet.
     #[must_use]
     pub fn new(
         address: Rc<DiscoveryAddress>,
@@ -74,7 +74,7 @@
         Self { address, updates, counters, backoff, generation, last_message }
     }
 
-    /// Applies a list as the one that is held from now on.
+    /// Applies a list to the directory and the router.
     pub fn apply(&self, list: &EndpointList) {
         self.generation.set(list.generation);
         let message = self.last_message.get() + 1;
@@ -82,7 +82,7 @@
         self.updates.apply(PLATFORM, list.watch_event(message));
     }
 
-    /// Watches discovery for ever, from the list that is held.
+    /// Watches discovery for ever, starting after the last list that was applied.
     pub async fn run(mut self) {
         let mut reported = false;
         loop {
@@ -92,7 +92,7 @@
                 continue;
             };
             self.counters.watches_opened.increment();
-            // The old address may stay silent, and what the new one has to report binds soon: the watch moves at once.
+            // The watch moves to a new address at once: the old one may stay silent.
             let moved = async {
                 changed.await;
                 Ok(())
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Backs off before the next watch, unless discovery moves away from `address`.
+    /// Pauses before the next watch, unless discovery has moved, or moves, away from `address`.
     async fn pause(&mut self, address: SocketAddr, end: WatchEnd) {
         if self.address.get() != Some(address) {
             return;
@@ -126,14 +126,14 @@
         or(changed, expired).await;
     }
 
-    /// One watch, until its connection ends or falls silent.
+    /// Runs one watch until its connection is closed or falls silent.
     async fn watch(&self, address: SocketAddr) -> Result<(), WatchError> {
         let mut connection = WatchConnection::open(address, self.generation.get()).await?;
         let Some(head) = connection.read_head().await? else { return Ok(()) };
         let mut stream = JsonStream::default();
         loop {
-            match connection.take_body_part(head.chunked, &mut stream)? {
-                BodyPart::Taken => {
+            match connection.move_body_part(head.chunked, &mut stream)? {
+                BodyPart::Appended => {
                     while let Some(object) = stream.next_object()? {
                         self.apply(&serde_json::from_slice(&object)?);
                     }
@@ -145,11 +145,11 @@
     }
 }
 
-/// What was read of a response's body.
+/// The next part of a response's body.
 enum BodyPart {
-    /// A part that has been taken.
-    Taken,
-    /// A part that is not all there, or nothing.
+    /// A part that was appended to the stream.
+    Appended,
+    /// More has to be read first.
     Incomplete,
     /// The end of the body.
     End,
@@ -162,7 +162,7 @@
 }
 
 impl WatchConnection {
-    /// Connects to discovery and asks for what is later than `generation`.
+    /// Connects to discovery and requests what follows `generation`.
     async fn open(address: SocketAddr, generation: u64) -> io::Result<Self> {
         let stream = within_silence_timeout(Async::<TcpStream>::connect(address)).await?;
         let request = format!(
@@ -173,7 +173,7 @@
         Ok(Self { stream, buffer: ReadBuffer::default() })
     }
 
-    /// Reads the head of the response; `None` if the connection ends before.
+    /// Reads the head of the response; `None` if the connection is closed before.
     async fn read_head(&mut self) -> Result<Option<http::Head>, WatchError> {
         loop {
             if let Some(head) = http::head(self.buffer.data())? {
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Moves the next part of the body into `stream`.
-    fn take_body_part(&mut self, chunked: bool, stream: &mut JsonStream) -> Result<BodyPart, HttpError> {
+    /// Moves the next part of the body to `stream`.
+    fn move_body_part(&mut self, chunked: bool, stream: &mut JsonStream) -> Result<BodyPart, HttpError> {
         let data = self.buffer.data();
         let (part, size) = match chunked {
             true => match http::chunk(data)? {
@@ -200,17 +200,17 @@
         };
         stream.push(part);
         self.buffer.consume(size);
-        Ok(BodyPart::Taken)
+        Ok(BodyPart::Appended)
     }
 
-    /// Reads once; the count is 0 at the end of the connection.
+    /// Reads once and gives the number of bytes, which is 0 at the end of the connection.
     async fn fill(&mut self) -> io::Result<usize> {
         self.buffer.shrink_if_empty();
         within_silence_timeout(self.buffer.fill(&self.stream)).await
     }
 }
 
-/// The result of `work`, unless it takes longer than the timeout for silence.
+/// The result of `work`, or an error if it takes longer than the silence timeout.
 async fn within_silence_timeout<T>(work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let expired = async {
         Timer::after(SILENCE_TIMEOUT).await;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
 //! The proxy: the router's decisions on real sockets. One executor on one thread runs all tasks.
 //!
-//! [`client`] accepts connections and reads requests, [`request`] takes each to its final response as the router commands
-//! through the [`router_handle`], and [`server`] makes the attempts. [`discovery`] tells the router of the endpoints, and
-//! [`lifecycle`] ends it all.
+//! [`client`] accepts connections and reads requests; [`request`] serves each as the router commands through the
+//! [`router_handle`]; [`server`] makes the attempts. [`discovery`] keeps the router informed about the endpoints, and
+//! [`lifecycle`] handles signals, reloads and the shutdown.
 
 mod assembly;
 pub mod buffer;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Reload on SIGHUP: the configuration is read again, and discovery watched where it says.
+//! Reload of the configuration on SIGHUP, which applies the address of discovery.
 
 use crate::config::Config;
 use crate::discovery::address::DiscoveryAddress;
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// For how long a file that can't be read, or is not complete, is read again: it may be being replaced, and what its
-/// discovery has to report counts as reported 4 s after the signal.
+/// How long a file that can't be read, or is truncated, is read again: it may be being replaced. What discovery reports at
+/// its new address has to take effect within 4 s of the signal.
 const RETRY_WINDOW: Duration = Duration::from_secs(3);
-/// The pause before it is read again; each is twice the one before.
+/// The first pause before the file is read again; each further one is twice as long.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Reads the configuration again.
@@ -20,7 +20,7 @@
     config_file: PathBuf,
     discovery: Rc<DiscoveryAddress>,
     counters: Rc<Counters>,
-    /// How many reloads were requested.
+    /// The number of reloads requested so far.
     requested: Cell<u64>,
 }
 
@@ -30,9 +30,9 @@
         Self { config_file, discovery, counters, requested: Cell::new(0) }
     }
 
-    /// Reads the configuration again and watches discovery where it says. All else in it takes effect at the next start;
-    /// the endpoints, the connections and the requests in flight stay as they are. A file that can't be used changes
-    /// nothing; one that may just be being replaced is read again for a while, or until the next signal.
+    /// Reads the configuration again and applies the address of discovery. All other changes take effect at the next
+    /// start; endpoints, connections and requests in flight are unaffected. A file that can't be used changes nothing;
+    /// one that may be being replaced is read again for a while, or until the next signal.
     pub(crate) async fn reload(self: Rc<Self>) {
         let (started, reload) = (Instant::now(), self.requested.get() + 1);
         self.requested.set(reload);
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: the pooler serves on while there is time, then closes client connections as they fall idle, and
-//! exits when none is left or the time is over.
+//! Graceful shutdown: the pooler keeps serving while there is time, then closes client connections as they become idle,
+//! and exits when none is left or the time is over.
 
 use crate::lifecycle::stages::ShutdownStages;
 use async_io::Timer;
@@ -8,25 +8,25 @@
 
 /// Connections keep arriving for up to 0.4 s after SIGTERM; until a little later nothing changes for clients.
 const ARRIVALS: Duration = Duration::from_millis(500);
-/// Nothing changes for clients either for as long as there is this much time left for requests in flight. A client that
-/// has a connection uses no other pooler while it lasts, so to close it early fails what it would have asked on it.
+/// Idle connections are closed only this long before the remaining requests are terminated. A client uses no other
+/// pooler while it has a connection, so closing one early fails the requests that it would have carried.
 const CLOSING_TIME: Duration = Duration::from_millis(700);
-/// For this long after idle connections are closed a late client is still accepted, served and closed.
+/// After the pooler has begun to close idle connections, late clients are still accepted and served for this long.
 const LATE_ARRIVALS: Duration = Duration::from_millis(250);
-/// SIGKILL comes no earlier than after the longest deadline, counted as no more than this, and a grace.
+/// SIGKILL arrives no earlier than after the longest deadline, limited to this, plus a grace.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// The grace between the longest deadline and SIGKILL.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// Requests that are in flight so long before SIGKILL get their final response at once.
+/// Requests that are still in flight this long before SIGKILL are terminated.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// Short deadlines leave no more than this between the exit of the process and SIGKILL.
+/// The least time between the exit of the process and SIGKILL, which short deadlines leave.
 const MIN_KILL_MARGIN: Duration = Duration::from_millis(50);
-/// The time in which those last responses are written.
+/// The time for writing the responses to terminated requests.
 const FLUSH_TIME: Duration = Duration::from_millis(150);
-/// How often the connected clients are counted.
+/// The interval at which the connected clients are counted.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// When each stage of a shutdown begins, counted from SIGTERM.
+/// The time from SIGTERM to each stage of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// Idle client connections are closed.
@@ -40,18 +40,18 @@
 }
 
 impl Schedule {
-    /// The schedule of a pooler whose clients have no longer deadline than this.
+    /// The schedule for clients whose deadlines are no longer than this.
     #[must_use]
     pub fn new(longest_deadline: Duration) -> Self {
         let kill = Self::earliest_kill(longest_deadline);
-        // Where time is short, accepting goes before the margin, and the last responses before accepting.
+        // If time is short, accepting late arrivals takes precedence over the margin, and the flush over both.
         let terminating = (kill - KILL_MARGIN).max(ARRIVALS).min(kill - FLUSH_TIME - MIN_KILL_MARGIN);
         let closing_idle = terminating.saturating_sub(CLOSING_TIME).max(ARRIVALS).min(terminating);
         let not_accepting = (closing_idle + LATE_ARRIVALS).min(terminating);
         Self { closing_idle, not_accepting, terminating, terminated: terminating + FLUSH_TIME }
     }
 
-    /// The earliest SIGKILL, counted from SIGTERM.
+    /// The time from SIGTERM to the earliest SIGKILL.
     #[must_use]
     pub fn earliest_kill(longest_deadline: Duration) -> Duration {
         longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE
--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -16,10 +16,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How often the flags are checked. The signal pipe wakes at once, but a write to it from the handler can fail, and nobody
-/// would send the signal again.
+/// The interval at which the flags are checked. The signal pipe wakes the task at once, but the handler's write to it can
+/// fail.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after an error of the pipe, which must not spin should it last.
+/// The pause after an error of the pipe, so that one that persists is not retried in a busy loop.
 const ERROR_DELAY: Duration = Duration::from_millis(1);
 
 /// What a signal requests.
@@ -33,7 +33,7 @@
     ShutDown,
 }
 
-/// The commands that signals have requested and that have not been taken yet. Only a signal can set one.
+/// The commands that signals have requested and that were not taken yet. Only a signal can set one.
 #[derive(Debug, Default)]
 pub struct PendingCommands {
     log_status: Arc<AtomicBool>,
@@ -42,7 +42,7 @@
 }
 
 impl PendingCommands {
-    /// Commands that the process's signals request from now on.
+    /// Registers handlers for the process's signals.
     ///
     /// # Errors
     ///
@@ -108,7 +108,7 @@
                 match command {
                     Command::LogStatus => status_report.log(),
                     Command::Reload => executor.spawn(reloader.clone().reload()).detach(),
-                    // Once is enough.
+                    // Repeated requests change nothing.
                     Command::ShutDown => {
                         if let Some(shutdown) = shutdown.take() {
                             executor.spawn(shutdown.run()).detach();
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -21,19 +21,19 @@
 pub struct Counters {
     /// Client connections accepted.
     pub client_connections: Counter,
-    /// Client connections turned away since the pooler had no slot for them.
+    /// Client connections rejected because no slot was free.
     pub rejected_connections: Counter,
-    /// Requests handed to the router.
+    /// Requests submitted to the router.
     pub requests: Counter,
-    /// Statements that were answered with an error since they are not requests.
+    /// Statements answered with an error because they are not requests.
     pub rejected_statements: Counter,
     /// Attempts that the router dispatched to an endpoint.
     pub attempts: Counter,
-    /// Requests answered with a result.
+    /// Requests answered with a server's response.
     pub served: Counter,
     /// Requests rejected: they did not run.
     pub rejected: Counter,
-    /// Requests failed: nothing is promised about them.
+    /// Requests failed: they may or may not have run.
     pub failed: Counter,
     /// Requests whose client disconnected before the response.
     pub client_disconnects: Counter,
@@ -41,15 +41,15 @@
     pub cancelled: Counter,
     /// Connections opened to servers.
     pub server_connections_opened: Counter,
-    /// Kept connections closed since they failed the validation before reuse.
+    /// Idle server connections closed because they failed the validation before reuse.
     pub failed_validations: Counter,
-    /// Times that a connection had to wait for descriptors, ports or memory of this machine, or for the pool's limit.
+    /// Waits of a connection for descriptors, ports or memory of this machine, or for the pool's limit.
     pub resource_waits: Counter,
     /// Health checks sent.
     pub health_checks: Counter,
-    /// Configurations read again.
+    /// Configurations reloaded.
     pub config_reloads: Counter,
-    /// Watches of discovery opened.
+    /// Watches opened at discovery.
     pub watches_opened: Counter,
     outcomes: [Counter; OUTCOME_NAMES.len()],
 }
--- a/crates/proxy/src/pooler.rs
+++ b/crates/proxy/src/pooler.rs
@@ -1,4 +1,4 @@
-//! The pooler as its program sees it.
+//! The pooler, as the program uses it.
 
 use crate::assembly::{Assembly, StartError};
 use crate::config::Config;
@@ -10,14 +10,14 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// A pooler that listens, and serves nothing yet. Further sources of endpoints are added before it runs.
+/// A pooler that listens, and serves nothing until it runs. Further sources of endpoints are added before that.
 pub struct Pooler {
     name: String,
     assembly: Assembly,
 }
 
 impl Pooler {
-    /// Opens all that a pooler needs. `config_file` is where `config` was read, and is read again on SIGHUP.
+    /// Creates a pooler and opens its sockets. `config_file` is the file of `config`, which is read again on SIGHUP.
     ///
     /// # Errors
     ///
@@ -26,7 +26,7 @@
         Ok(Self { assembly: Assembly::start(&config, config_file)?, name: config.name })
     }
 
-    /// The way in for what a further source of endpoints reports.
+    /// Accepts what a further source of endpoints reports.
     #[must_use]
     pub fn endpoint_updates(&self) -> EndpointUpdates {
         self.assembly.updates.clone()
@@ -38,7 +38,7 @@
         self.assembly.listening
     }
 
-    /// How far its shutdown has come.
+    /// The stages of its shutdown.
     #[must_use]
     pub fn shutdown_stages(&self) -> Rc<ShutdownStages> {
         self.assembly.stages.clone()
@@ -54,7 +54,7 @@
         self.assembly.status_report.add_section(section);
     }
 
-    /// Serves until it has shut down after a signal, and then awaits `last`.
+    /// Serves until a signal has shut it down, and then awaits `last`.
     pub fn run(self, last: impl Future<Output = ()>) {
         let Assembly { executor, stages, status_report, listening, .. } = self.assembly;
         tracing::info!("{} listening on {listening}", self.name);
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request/serve.rs
@@ -1,155 +1,32 @@
-//! The life of a request, from when it is handed to the router to its one final response. The protocol is the
-//! [`AttemptTransport`]'s concern.
+//! Serving a request: the router's commands are carried out until one of them, or the client, ends it.
 
+use super::attempt::{AttemptContext, AttemptResult, AttemptTransport};
+use super::client_request::{AbortReason, ClientRequest};
+use super::final_response::FinalResponse;
 use crate::router_handle::{RequestCommand, RequestHandle, RouterHandle};
 use crate::time_conversion::to_duration;
 use futures_lite::future::{or, poll_fn};
 use pooler_routing::{
-    AttemptCompletion, AttemptNumber, AttemptOutcome, ClassId, EndpointId, Event, GroupId, Request,
-    ResponseMetadata, SessionKey, TimeDelta, Timestamp,
+    AttemptCompletion, AttemptNumber, AttemptOutcome, EndpointId, Event, Request, TimeDelta, Timestamp,
 };
-use std::cell::Cell;
 use std::future::Future;
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::Poll;
-use std::time::Duration;
 
-/// Carries attempts to endpoints.
-pub trait AttemptTransport {
-    /// What the client asks, ready to be sent on.
-    type Query;
-    /// What an endpoint responds to it.
-    type Response;
-
-    /// Makes one attempt and waits for its result for `timeout` at most. It is never sent twice on its own account.
-    /// Once the future has ended or is dropped, nothing of the attempt is in flight any more.
-    fn attempt(
-        &self,
-        endpoint: &EndpointId,
-        query: &Self::Query,
-        timeout: Duration,
-        context: &AttemptContext<'_>,
-    ) -> impl Future<Output = AttemptResult<Self::Response>>;
-}
-
-/// What a transport asks before it writes an attempt, and reports once it has.
-pub struct AttemptContext<'a> {
-    still_eligible: &'a dyn Fn() -> bool,
-    sent: Cell<bool>,
-}
-
-impl<'a> AttemptContext<'a> {
-    /// The context of an attempt that is not written yet. `still_eligible` asks the router whether it may be.
-    #[must_use]
-    pub fn new(still_eligible: &'a dyn Fn() -> bool) -> Self {
-        Self { still_eligible, sent: Cell::new(false) }
-    }
-
-    /// Whether the attempt may still be written, now that its connection is there.
-    #[must_use]
-    pub fn still_eligible(&self) -> bool {
-        (self.still_eligible)()
-    }
-
-    /// Records that all of the attempt is written: from now on it may run.
-    pub fn mark_sent(&self) {
-        self.sent.set(true);
-    }
-
-    /// Whether all of the attempt is written.
-    #[must_use]
-    pub fn is_sent(&self) -> bool {
-        self.sent.get()
-    }
-}
-
-/// How an attempt ended.
-#[derive(Debug)]
-pub struct AttemptResult<R> {
-    /// The outcome.
-    pub outcome: AttemptOutcome,
-    /// What the endpoint said of itself beside the response.
-    pub metadata: Option<ResponseMetadata>,
-    /// The endpoint's load report.
-    pub load_report: Option<Vec<f64>>,
-    /// The response, if the outcome is [`AttemptOutcome::Ok`].
-    pub response: Option<R>,
-}
-
-impl<R> AttemptResult<R> {
-    /// A result with nothing but its outcome.
-    #[must_use]
-    pub fn without_response(outcome: AttemptOutcome) -> Self {
-        Self { outcome, metadata: None, load_report: None, response: None }
-    }
-}
-
-/// A request as the client side hands it in.
-#[derive(Debug)]
-pub struct ClientRequest<Q> {
-    /// Its class.
-    pub class: ClassId,
-    /// Its session, in classes that have sessions.
-    pub session: Option<SessionKey>,
-    /// Its group.
-    pub group: GroupId,
-    /// When the client gives up.
-    pub deadline: Timestamp,
-    /// When its session last committed, where clients say so.
-    pub last_write: Option<Timestamp>,
-    /// What is sent to an endpoint.
-    pub query: Q,
-}
-
-/// Why a request ends before the router has ended it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AbortReason {
-    /// Its client has disconnected.
-    ClientDisconnected,
-    /// Its client has asked to cancel it.
-    CancelRequested,
-    /// The process exits before the request's deadline.
-    Shutdown,
-}
-
-/// The one final response to a request. `in_doubt_at` names the last endpoint that may have run it, if one may.
-#[derive(Debug)]
-pub enum FinalResponse<R> {
-    /// An endpoint's response.
-    Served(R),
-    /// The request is rejected: it did not run, and a retry does no harm. With it goes when to retry, if that is told.
-    Rejected(Option<TimeDelta>),
-    /// The request has failed; nothing is promised.
-    Failed {
-        /// Where it may have run.
-        in_doubt_at: Option<EndpointId>,
-    },
-    /// The client has cancelled the request.
-    Cancelled {
-        /// Where it may have run.
-        in_doubt_at: Option<EndpointId>,
-    },
-    /// The client has closed its connection, or its side of it.
-    ClientDisconnected {
-        /// Where it may have run.
-        in_doubt_at: Option<EndpointId>,
-    },
-}
-
-/// What ends a wait for the router, or for an attempt, from outside.
+/// A reason to stop waiting for an attempt before it has completed.
 enum Interruption {
     Command(RequestCommand),
     Aborted(AbortReason),
 }
 
-/// What ends the wait for an attempt.
+/// The end of the wait for an attempt.
 enum AttemptEvent<R> {
     Completed(AttemptResult<R>),
     Interrupted(Interruption),
 }
 
-/// Serves one request: hands it to the router, and makes the attempts that the router commands, until the router or
+/// Serves one request: submits it to the router, and makes the attempts that the router commands, until the router or
 /// `aborted` ends it.
 pub async fn serve<T: AttemptTransport>(
     router: &Rc<RouterHandle>,
@@ -160,7 +37,7 @@
     let mut aborted = pin!(aborted);
     let mut active = ActiveRequest::start(router, request);
     loop {
-        // Commands come first: what the router has decided holds.
+        // A command that is ready takes precedence over the abort: the router has decided already.
         let command = async { Interruption::Command(active.handle.next_command().await) };
         let abort = async { Interruption::Aborted(aborted.as_mut().await) };
         let (endpoint, timeout) = match or(command, abort).await {
@@ -169,7 +46,7 @@
                 return reject(router, retry_after);
             }
             Interruption::Command(RequestCommand::Fail) => return active.fail(),
-            // Its attempt has ended by itself.
+            // The attempt to cancel has completed by itself.
             Interruption::Command(RequestCommand::CancelAttempt) => continue,
             Interruption::Aborted(reason) => {
                 active.report_abandoned();
@@ -187,7 +64,7 @@
 struct ActiveRequest<'a> {
     router: &'a RouterHandle,
     handle: RequestHandle,
-    /// How many attempts have ended.
+    /// The number of attempts that have ended.
     attempts: u32,
     /// The last endpoint that may have run it.
     in_doubt_at: Option<EndpointId>,
@@ -221,7 +98,7 @@
         let started = self.router.now();
         let still_eligible = || self.router.still_eligible(self.handle.id(), &endpoint);
         let context = AttemptContext::new(&still_eligible);
-        // The attempt is over, with its connection if it was given up, before the router is told.
+        // The block drops the attempt, and its connection if it was given up, before the router is told.
         let event = {
             let attempt = transport.attempt(&endpoint, query, to_duration(timeout), &context);
             wait_for_attempt(attempt, self.handle.next_command(), aborted, &context).await
@@ -239,7 +116,7 @@
         self.final_response(response, interruption)
     }
 
-    /// Reports the end of an attempt to the router, after the end of the request if its client gave it up.
+    /// Reports the end of an attempt to the router, preceded by the end of the request if that was aborted.
     fn report_completed<R>(
         &mut self,
         endpoint: EndpointId,
@@ -271,7 +148,7 @@
         response
     }
 
-    /// The final response after an attempt; `None` if the router has been asked again.
+    /// The final response after an attempt; `None` if the request goes on.
     fn final_response<R>(
         &self,
         response: Option<R>,
@@ -300,8 +177,8 @@
         FinalResponse::Failed { in_doubt_at: self.in_doubt_at.clone() }
     }
 
-    /// The response to a request that was aborted. At the exit of the process a rejection is honest only for what
-    /// can't have run.
+    /// The response to a request that was aborted. At a shutdown it is rejected only if it can't have run, since a
+    /// rejection promises that a retry is safe.
     fn abort<R>(&self, reason: AbortReason) -> FinalResponse<R> {
         let in_doubt_at = self.in_doubt_at.clone();
         match reason {
@@ -324,9 +201,9 @@
     FinalResponse::Rejected(retry_after)
 }
 
-/// Waits for the end of an attempt, for a command of the router, or for what aborts the request. Until the attempt is
-/// written it is polled last: nothing is begun for a client that has disconnected. Once it is written, a response that
-/// is there goes before the router's command, and both before the client's disconnect.
+/// Waits for the end of an attempt, a command of the router, or an abort of the request. Until the attempt is written it
+/// is polled last: nothing is begun for a client that has disconnected. Once it is written, a response that has arrived
+/// takes precedence over a command, and both over the client's disconnect.
 async fn wait_for_attempt<R>(
     attempt: impl Future<Output = AttemptResult<R>>,
     command: impl Future<Output = RequestCommand>,
--- a/crates/proxy/src/resource_exhaustion.rs
+++ b/crates/proxy/src/resource_exhaustion.rs
@@ -1,4 +1,4 @@
-//! Tells a shortage of this machine's resources apart from a failure of the other side.
+//! Distinguishes exhausted resources of this machine from failures of the peer.
 
 use rustix::io::Errno;
 use std::io;
@@ -6,7 +6,7 @@
 /// The errors with which the system reports that it is out of descriptors, memory or ports.
 const EXHAUSTION: [Errno; 5] = [Errno::MFILE, Errno::NFILE, Errno::NOMEM, Errno::NOBUFS, Errno::ADDRNOTAVAIL];
 
-/// Whether an error tells that this machine is out of descriptors, memory or ports.
+/// Whether the error means that this machine is out of descriptors, memory or ports.
 #[must_use]
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     Errno::from_io_error(error).is_some_and(|errno| EXHAUSTION.contains(&errno))
--- a/crates/proxy/src/router_handle.rs
+++ b/crates/proxy/src/router_handle.rs
@@ -1,5 +1,5 @@
-//! The router's handle: it passes events to the router, and each action that comes back to the task that carries it
-//! out: the request that waits for it, the health checker, or the timer. It decides nothing.
+//! The handle of the router. It dispatches events to the router, and forwards each resulting action to the task that
+//! carries it out: the request concerned, the health checker or the timer. It makes no decisions.
 
 use crate::clock::Clock;
 use crate::metrics::Counters;
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A timer that fires later than this tells that the process stood still.
+/// A timer that fires later than this shows that the process was suspended.
 const LATE_TIMER: TimeDelta = TimeDelta::from_millis(5);
 /// Long enough for one turn of the reactor.
 const REACTOR_TURN: Duration = Duration::from_millis(1);
 
-/// What the router wants done for a request.
+/// A command of the router to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestCommand {
     /// Start an attempt.
@@ -29,7 +29,7 @@
     },
     /// Respond that the request is rejected.
     Reject {
-        /// When the client should come back.
+        /// When the client should retry.
         retry_after: Option<TimeDelta>,
     },
     /// Respond that the request has failed.
@@ -43,7 +43,7 @@
     clock: Clock,
     counters: Rc<Counters>,
     router: RefCell<Router>,
-    /// Kept between events for its capacity.
+    /// Empty between events; kept for its allocation.
     actions: RefCell<Vec<Action>>,
     command_channels: RefCell<HashMap<RequestId, Sender<RequestCommand>>>,
     last_request_id: Cell<u64>,
@@ -76,13 +76,13 @@
         self.clock.now()
     }
 
-    /// What is counted.
+    /// The counters.
     #[must_use]
     pub fn counters(&self) -> &Rc<Counters> {
         &self.counters
     }
 
-    /// Passes an event to the router, and its actions on to the tasks that carry them out.
+    /// Dispatches an event to the router, and forwards the resulting actions.
     pub fn dispatch(&self, event: Event) {
         let mut actions = self.actions.take();
         self.router.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -105,20 +105,20 @@
             // Both channels are unbounded, and their receivers live as long as the process.
             Action::HealthCheck { endpoint } => drop(self.health_checks.try_send(endpoint)),
             Action::SetTimer { at } => drop(self.timer_sender.try_send(at)),
-            // Discovery is watched all the time.
+            // Discovery is watched permanently.
             Action::Subscribe => {}
             Action::Log { line } => tracing::info!(target: "decisions", "{line}"),
         }
     }
 
-    /// Sends a command to a request. One that has ended has no channel any more: the command is void.
+    /// Sends a command to a request. A request that has ended has no channel any more, and its commands are dropped.
     fn command(&self, request: RequestId, command: RequestCommand) {
         if let Some(channel) = self.command_channels.borrow().get(&request) {
             drop(channel.try_send(command));
         }
     }
 
-    /// Gives a request a new id and a command channel, and passes the request that `describe` makes to the router.
+    /// Assigns a new id and a command channel to a request, and dispatches the request that `describe` builds.
     pub fn start_request(
         self: &Rc<Self>,
         describe: impl FnOnce(RequestId, Timestamp) -> Request,
@@ -132,12 +132,12 @@
         RequestHandle { router: self.clone(), id, commands }
     }
 
-    /// Whether the router would still have this attempt written.
+    /// Whether the router still wants this attempt to be written.
     pub fn still_eligible(&self, request: RequestId, endpoint: &EndpointId) -> bool {
         self.router.borrow().still_eligible(self.clock.now(), request, endpoint)
     }
 
-    /// Whether the router would send an endpoint anything new.
+    /// Whether the router sends new work to an endpoint.
     pub fn accepts_new_work(&self, endpoint: &EndpointId) -> bool {
         self.router.borrow().accepts_new_work(endpoint)
     }
@@ -163,9 +163,9 @@
         }
     }
 
-    /// Passes a fired timer to the router, once the requests whose responses are readable by now got to read them: the
-    /// router would count them as overdue. The tasks that the same turn of the reactor woke come first; and where the
-    /// process itself stood still, the reactor gets another turn to find them.
+    /// Dispatches a fired timer, after the requests whose responses have arrived had the chance to read them: the router
+    /// would count those as overdue. Tasks that the same turn of the reactor woke run first; if the process was
+    /// suspended, the reactor gets another turn to wake them.
     async fn fire_timer(&self, timer: Option<Timestamp>) {
         if timer.is_some_and(|at| self.clock.now() - at > LATE_TIMER) {
             Timer::after(REACTOR_TURN).await;
@@ -175,7 +175,7 @@
     }
 }
 
-/// A request's side of its command channel, which is closed when this is dropped.
+/// The receiving side of a request's command channel, which is closed on drop.
 pub struct RequestHandle {
     router: Rc<RouterHandle>,
     id: RequestId,
--- a/crates/proxy/src/server/attempt.rs
+++ b/crates/proxy/src/server/attempt.rs
@@ -1,4 +1,4 @@
-//! How far an attempt has come, why it ended without a response, and the outcome that the router is told.
+//! The progress of an attempt, the errors that end one, and the outcomes that the router is told for them.
 
 use super::sqlstate::connection_error_outcome;
 use crate::protocol::{ProtocolError, SqlState};
@@ -6,16 +6,16 @@
 use pooler_routing::AttemptOutcome;
 use std::io;
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptStage {
-    /// It waits for the resources of a new connection.
+    /// Waiting for the resources of a new connection.
     Waiting,
-    /// Its connection is being opened, or a kept one validated.
+    /// Opening a connection, or validating an idle one.
     Connecting,
-    /// Its query is being written.
+    /// Writing the query.
     Writing,
-    /// All of its query is written: it may run.
+    /// The query is written completely: it may run.
     Sent,
 }
 
@@ -23,9 +23,9 @@
     /// The outcome of an attempt whose timeout expired at this stage.
     pub(super) fn timeout_outcome(self) -> AttemptOutcome {
         match self {
-            // Nothing was sent, and nothing is known of the endpoint.
+            // Nothing was sent, and nothing is known about the endpoint.
             Self::Waiting => AttemptOutcome::NotSent,
-            // Silence for less than the connect timeout: nothing was sent, and it may be this connection's alone.
+            // Nothing was sent, and less than the connect timeout has passed: it may be this connection alone.
             Self::Connecting => AttemptOutcome::ConnectionLostBeforeSend,
             Self::Writing => AttemptOutcome::ConnectionRefused,
             Self::Sent => AttemptOutcome::Timeout,
@@ -33,31 +33,31 @@
     }
 }
 
-/// Why an attempt ended without a response.
+/// An error that ends an attempt without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AttemptError {
-    /// This machine is out of descriptors, ports or memory, which says nothing of the endpoint.
+    /// This machine is out of descriptors, ports or memory; the endpoint is not to blame.
     #[error("this machine is out of descriptors, ports or memory")]
     ResourceExhausted,
-    /// Nobody listens at the endpoint's address, or it has none.
+    /// The endpoint refused the connection, or has no address.
     #[error("connection refused")]
     ConnectionRefused,
-    /// The endpoint is silent.
+    /// The endpoint did not respond in time.
     #[error("timed out")]
     TimedOut,
-    /// The connection broke, or what came on it made no sense.
+    /// The connection broke, or the server violated the protocol.
     #[error("connection lost")]
     ConnectionLost,
-    /// The router sends the endpoint nothing new any more.
+    /// The router sends no new work to the endpoint any more.
     #[error("the endpoint accepts no new work")]
     EndpointWithdrawn,
-    /// The endpoint's data has become too old for the request.
+    /// The endpoint's data has become too stale for the request.
     #[error("the endpoint is not eligible any more")]
     NoLongerEligible,
-    /// The attempt's time was over before its query was written.
+    /// The timeout had expired before the query was written.
     #[error("deadline expired before the query was written")]
     DeadlineExpired,
-    /// The server turned the connection away.
+    /// The server rejected the connection with an error.
     #[error("server error {0:?}")]
     ServerError(SqlState),
 }
@@ -67,7 +67,7 @@
     pub(super) fn outcome(self, stage: AttemptStage) -> AttemptOutcome {
         match self {
             Self::ServerError(code) => connection_error_outcome(code),
-            // Nothing was sent, and nothing is known of the endpoint.
+            // Nothing was sent, and nothing is known about the endpoint.
             Self::EndpointWithdrawn | Self::NoLongerEligible | Self::DeadlineExpired => {
                 AttemptOutcome::NotSent
             }
--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server: opened with the startup of the protocol, and validated before it is used again.
+//! One connection to a server: opened with the protocol's startup, and validated before it is reused.
 
 use super::attempt::AttemptError;
 use super::connection_limit::ConnectionPermit;
@@ -13,8 +13,8 @@
 
 const USER: &str = "backend";
 const DATABASE: &str = "store";
-/// An empty query. A kept connection has to answer it, with nothing before the answer and nothing behind it, before it
-/// carries a request: some are closed without a sign of it until the next write, which would be lost.
+/// An empty query. An idle connection has to respond to it, with nothing before or after the response, before it carries
+/// a request: some were closed without notice, and the next write on them would be lost.
 const EMPTY_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 /// The body of an AuthenticationOk.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
@@ -31,11 +31,11 @@
 }
 
 impl Connection {
-    /// Connects to a server and goes through the startup of the protocol.
+    /// Connects to a server and performs the protocol's startup.
     ///
     /// # Errors
     ///
-    /// When the server can't be reached, breaks the connection, or turns it away.
+    /// When the server can't be reached, breaks the connection or rejects it.
     pub(super) async fn open(address: SocketAddr, permit: ConnectionPermit) -> Result<Self, AttemptError> {
         let stream = Async::<TcpStream>::connect(address).await.map_err(|error| connect_error(&error))?;
         stream.get_ref().set_nodelay(true)?;
@@ -72,11 +72,11 @@
         }
     }
 
-    /// Has an empty query answered, with nothing before the answer and nothing behind it.
+    /// Checks that the server responds to an empty query, with nothing before or after the response.
     ///
     /// # Errors
     ///
-    /// When anything else comes, or the connection has ended.
+    /// When anything else arrives, or the connection is closed.
     pub(super) async fn validate(&mut self) -> Result<(), AttemptError> {
         self.write(&[EMPTY_QUERY]).await?;
         let mut answered = false;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether it can be kept for another request: connected to where the endpoint listens, open, with nothing unread,
+    /// Whether it can carry another request: connected to the endpoint's current `address`, open, with nothing unread,
     /// and idle for less than `max_idle`.
     pub(super) fn is_reusable(&self, address: Option<SocketAddr>, max_idle: Duration) -> bool {
         let silent = match self.stream.get_ref().peek(&mut [0]) {
@@ -110,18 +110,18 @@
         silent && address == Some(self.address) && !self.has_unread() && self.idle_for() < max_idle
     }
 
-    /// Begins an idle time, and lets go of a large buffer.
+    /// Starts the idle time, and releases a large buffer.
     pub(super) fn mark_idle(&mut self) {
         self.buffer.shrink_if_empty();
         self.idle_since = Instant::now();
     }
 
-    /// When its idle time began.
+    /// When the idle time started.
     pub(super) fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// For how long it has been idle.
+    /// How long it has been idle.
     pub(super) fn idle_for(&self) -> Duration {
         self.idle_since.elapsed()
     }
@@ -135,7 +135,7 @@
         write_all(&self.stream, pieces).await
     }
 
-    /// Reads once; the count is 0 at the end of the stream.
+    /// Reads once and gives the number of bytes, which is 0 at the end of the stream.
     ///
     /// # Errors
     ///
@@ -144,7 +144,7 @@
         self.buffer.fill(&self.stream).await
     }
 
-    /// Reads once, where the end of the stream is an error.
+    /// Reads once; the end of the stream is an error.
     async fn fill_or_lost(&mut self) -> Result<(), AttemptError> {
         match self.fill().await? {
             0 => Err(AttemptError::ConnectionLost),
@@ -152,33 +152,33 @@
         }
     }
 
-    /// What has been read and not consumed.
+    /// The bytes that were read and not consumed yet.
     pub(super) fn unread(&self) -> &[u8] {
         self.buffer.data()
     }
 
-    /// Whether anything has been read and not consumed.
+    /// Whether there are bytes that were read and not consumed yet.
     pub(super) fn has_unread(&self) -> bool {
         !self.unread().is_empty()
     }
 
-    /// Consumes so many bytes of what has been read.
+    /// Consumes the first `count` unread bytes.
     pub(super) fn consume(&mut self, count: usize) {
         self.buffer.consume(count);
     }
 
-    /// Takes so many bytes out, with the buffer that they stand in and their place there.
+    /// Moves the first `count` unread bytes out; gives the buffer that holds them and their range in it.
     pub(super) fn detach(&mut self, count: usize) -> (Vec<u8>, Range<usize>) {
         self.buffer.detach(count)
     }
 }
 
-/// Why a connection could not be opened.
+/// The error of a connection that could not be opened.
 fn connect_error(error: &io::Error) -> AttemptError {
     match error.kind() {
         io::ErrorKind::ConnectionReset => AttemptError::ConnectionLost,
         io::ErrorKind::ConnectionRefused => AttemptError::ConnectionRefused,
-        // Not begun, for reasons that pass: neither says anything of the endpoint.
+        // Transient conditions of this machine, for which the endpoint is not to blame.
         io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock => AttemptError::ResourceExhausted,
         _ if is_resource_exhaustion(error) => AttemptError::ResourceExhausted,
         _ => AttemptError::TimedOut,
--- a/crates/proxy/src/server/connection_limit.rs
+++ b/crates/proxy/src/server/connection_limit.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Counts the connections that are open, and wakes tasks that wait for one to be closed.
+/// Counts the open connections, and wakes tasks that wait for one to be closed.
 #[derive(Debug)]
 pub(super) struct ConnectionLimit {
     open: Cell<usize>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The right to one connection.
+/// The permit for one connection, returned on drop.
 #[derive(Debug)]
 pub(super) struct ConnectionPermit(Rc<ConnectionLimit>);
 
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -18,22 +18,22 @@
 /// The query that a server answers with its load report.
 const LOAD_REPORT_QUERY: &str = "SHOW gauges";
 
-/// What an endpoint is asked.
+/// A query to an endpoint.
 #[derive(Clone, Copy)]
 pub(super) enum Query<'a> {
-    /// Its load report.
+    /// For the endpoint's load report.
     LoadReport,
     /// A client's statement.
     Statement {
         /// The statement.
         statement: &'a ClientStatement,
-        /// What is asked before it is written, and told afterwards.
+        /// The attempt that it belongs to.
         context: &'a AttemptContext<'a>,
     },
 }
 
 impl Query<'_> {
-    /// Writes it; a statement tells the server how much is left of its timeout.
+    /// Writes the query; a statement carries the remaining timeout to the server.
     async fn write(self, connection: &Connection, timeout: Duration) -> io::Result<()> {
         match self {
             Self::LoadReport => {
@@ -72,12 +72,11 @@
     pub(super) response: ServerResponse,
 }
 
-/// Sends one query and reads the response, within a timeout. The outcome tells how far an exchange without a response
-/// has come.
+/// Sends one query and reads the response, within a timeout.
 ///
 /// # Errors
 ///
-/// The outcome, when there is no response.
+/// Without a response, the outcome that the router is told; it depends on how far the exchange had come.
 pub(super) async fn exchange(
     pool: &Pool,
     endpoint: &EndpointId,
@@ -104,16 +103,16 @@
     stage: &Cell<AttemptStage>,
 ) -> Result<Exchange, AttemptError> {
     let mut connection = pool.acquire(endpoint, stage).await?;
-    // It may have begun to drain or been removed while the connection was opened.
+    // The endpoint may have begun to drain, or been removed, while the connection was opened.
     if !pool.accepts_new_work(endpoint) {
         return Err(AttemptError::EndpointWithdrawn);
     }
-    // Its data may have grown too old for a read meanwhile.
+    // Its data may have become too stale for a read meanwhile.
     if !query.is_still_eligible() {
         pool.release(endpoint, connection);
         return Err(AttemptError::NoLongerEligible);
     }
-    // The process may have been held up.
+    // The process may have been suspended.
     let timeout = deadline.saturating_duration_since(Instant::now());
     if timeout.is_zero() {
         pool.release(endpoint, connection);
@@ -158,7 +157,7 @@
     }
 }
 
-/// Takes a response out of its connection, with the buffer that it stands in.
+/// Moves a response out of its connection, together with the buffer that holds it.
 fn detach_response(connection: &mut Connection, messages: &[Range<usize>], size: usize) -> QueryResponse {
     let (buffer, detached) = connection.detach(size);
     let moved = |message: &Range<usize>| message.start + detached.start..message.end + detached.start;
--- a/crates/proxy/src/server/health_checks.rs
+++ b/crates/proxy/src/server/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks, as the router asks for them: each is a task of its own, so that a silent endpoint holds up no other.
+//! Health checks on behalf of the router. Each is a task of its own, so that a silent endpoint delays no other.
 
 use super::exchange::{Exchange, Query, exchange};
 use super::pool::Pool;
@@ -13,7 +13,7 @@
 /// The timeout of a health check.
 const TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Carries out the health checks that are requested. Runs as long as the router does.
+/// Carries out the requested health checks, for as long as the router runs.
 pub async fn run(
     executor: Rc<LocalExecutor<'static>>,
     router: Rc<RouterHandle>,
@@ -34,7 +34,7 @@
     router.dispatch(Event::HealthCheckCompleted { endpoint, outcome, elapsed, load_report });
 }
 
-/// Asks an endpoint for its load report.
+/// Queries an endpoint's load report.
 async fn query_load_report(pool: &Pool, endpoint: &EndpointId) -> (AttemptOutcome, Option<Vec<f64>>) {
     let Exchange { mut connection, response } =
         match exchange(pool, endpoint, Query::LoadReport, TIMEOUT).await {
--- a/crates/proxy/src/server/pool.rs
+++ b/crates/proxy/src/server/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to servers: kept per endpoint, opened when none is free, within a limit.
+//! The pool of connections to servers: idle ones are kept per endpoint, and new ones opened within a limit.
 
 use super::attempt::{AttemptError, AttemptStage};
 use super::connection::Connection;
@@ -15,19 +15,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The fraction of the servers' idle timeout after which an idle connection is closed here: one that the server closes
-/// while a request is on its way would lose that request.
+/// The fraction of the servers' idle timeout after which the pool closes an idle connection: a server that closes it
+/// while a request is on its way loses that request.
 const IDLE_FRACTION: f64 = 2.0 / 3.0;
-/// How often idle connections are looked through.
+/// The interval at which useless idle connections are closed.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
-/// The pause of a task that waits for resources, should nothing wake it.
+/// The longest wait for a resource before it is tried again.
 const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// What a server sends too much comes just behind a response, and must not be taken for the next: a connection rests for
-/// this long after a response while there are others.
+/// A connection is not reused for this long after a response while there are others: surplus messages of a server arrive
+/// right after its response, and must not be taken for the next one.
 const REST_AFTER_RESPONSE: Duration = Duration::from_millis(20);
-/// After so many kept connections that failed the validation a new one is opened.
+/// The number of idle connections that may fail the validation before a new one is opened.
 const MAX_VALIDATIONS: usize = 2;
-/// A new one is opened at once where a kept one stays silent for so long, ten times what the farthest servers take.
+/// The time limit of a validation, ten times what the farthest servers take. After a timeout a new connection is opened
+/// at once.
 const VALIDATION_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// The connections to all servers.
@@ -37,7 +38,7 @@
     counters: Rc<Counters>,
     settings: ProxySettings,
     limit: Rc<ConnectionLimit>,
-    /// The idle connections of each endpoint, the latest used last.
+    /// The idle connections of each endpoint, the most recently used last.
     idle: RefCell<HashMap<EndpointId, VecDeque<Connection>>>,
 }
 
@@ -55,7 +56,7 @@
         Self { router, directory, counters, settings, limit, idle: RefCell::default() }
     }
 
-    /// Closes idle connections that are of no more use, for ever.
+    /// Closes idle connections that can't be reused, for ever.
     pub async fn run_idle_eviction(&self) {
         loop {
             Timer::after(EVICTION_INTERVAL).await;
@@ -72,7 +73,7 @@
         });
     }
 
-    /// Closes the connection that has been idle longest; false if there is none.
+    /// Closes the longest idle connection; false if there is none.
     pub fn close_one_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
@@ -82,7 +83,7 @@
         oldest.is_some_and(|connections| connections.pop_front().is_some())
     }
 
-    /// Whether the router would send an endpoint anything new.
+    /// Whether the router sends new work to an endpoint.
     pub(super) fn accepts_new_work(&self, endpoint: &EndpointId) -> bool {
         self.router.accepts_new_work(endpoint)
     }
@@ -96,8 +97,8 @@
         self.settings.server_idle_timeout.mul_f64(IDLE_FRACTION)
     }
 
-    /// A connection to an endpoint: a kept one that passes the validation, or else a new one. It waits while this machine
-    /// is out of resources: that must not look like the endpoint's failure.
+    /// A connection to an endpoint: an idle one that passes the validation, or else a new one. It waits while this
+    /// machine is out of resources, which must not look like a failure of the endpoint.
     ///
     /// # Errors
     ///
@@ -115,7 +116,7 @@
             let permit = self.permit().await;
             stage.set(AttemptStage::Connecting);
             match with_timeout(self.settings.connect_timeout, self.connect(endpoint, permit)).await {
-                // The system is out of something though the limit is not reached: let an idle one go.
+                // The system has run out before the limit is reached: closing an idle connection may help.
                 Err(AttemptError::ResourceExhausted) => {
                     stage.set(AttemptStage::Waiting);
                     self.counters.resource_waits.increment();
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Keeps a connection that is at ReadyForQuery for further requests, unless it or its endpoint is of no more use.
+    /// Returns a connection at ReadyForQuery to the pool. It is closed if it has unread bytes, or the endpoint accepts no
+    /// new work.
     pub(super) fn release(&self, endpoint: &EndpointId, mut connection: Connection) {
         if connection.has_unread() || !self.accepts_new_work(endpoint) {
             return;
@@ -136,8 +138,8 @@
         self.idle.borrow_mut().entry(endpoint.clone()).or_default().push_back(connection);
     }
 
-    /// A kept connection that passes the validation. Those that ended, fell silent, or brought what was nobody's are
-    /// closed, with nothing of a request sent on them.
+    /// An idle connection that passes the validation. Those that fail it are closed; nothing of a request was sent on
+    /// them.
     async fn reuse(&self, endpoint: &EndpointId, stage: &Cell<AttemptStage>) -> Option<Connection> {
         for _ in 0..MAX_VALIDATIONS {
             let mut connection = self.take_idle(endpoint)?;
@@ -155,8 +157,8 @@
         None
     }
 
-    /// An idle connection: the latest used, so that the others can grow old and be closed, but for those that have only
-    /// just brought a response.
+    /// The most recently used idle connection, so that the others reach their idle limit; one that has just brought a
+    /// response only if there is no other.
     fn take_idle(&self, endpoint: &EndpointId) -> Option<Connection> {
         let address = self.directory.address(endpoint);
         let mut idle = self.idle.borrow_mut();
@@ -172,7 +174,7 @@
         }
     }
 
-    /// The right to one more connection. While the limit is reached idle ones are closed, or it waits.
+    /// The permit for one more connection. While the limit is reached it closes an idle one, or waits.
     async fn permit(&self) -> ConnectionPermit {
         while self.limit.is_reached() && !self.close_one_idle() {
             self.counters.resource_waits.increment();
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -10,15 +10,15 @@
 use pooler_routing::AttemptOutcome;
 use std::ops::Range;
 
-/// No response takes up more than this, notices and all.
+/// The largest response, in bytes, including notices.
 const MAX_RESPONSE_SIZE: usize = 2 * MAX_VALUE_SIZE;
 
-/// What was read up to ReadyForQuery, or until the server ended the connection. It stands in the connection's buffer
-/// still, whose ranges are given.
+/// What was read up to ReadyForQuery, or until the server closed the connection. The bytes are still in the connection's
+/// buffer; all ranges refer to it.
 pub(super) struct ServerResponse {
     /// The outcome of the attempt.
     pub(super) outcome: AttemptOutcome,
-    /// What the server said of itself beside the response.
+    /// What the server reported about itself beside the response.
     pub(super) server_status: ServerStatus,
     /// The messages of the response.
     pub(super) messages: Vec<Range<usize>>,
@@ -30,16 +30,16 @@
     pub(super) ready_for_query: bool,
 }
 
-/// Reads one response. What was complete before the connection ended counts; one that makes no sense may have run, like
-/// one that never came.
+/// Reads one response. A response that was complete when the connection was closed counts. After a malformed one the
+/// query may have run, as after none at all.
 ///
 /// # Errors
 ///
-/// When the connection ends before the response is complete, or what comes makes no sense.
+/// When the connection is closed before the response is complete, or the server violates the protocol.
 pub(super) async fn read(connection: &mut Connection) -> Result<ServerResponse, AttemptError> {
     let mut reader = ResponseReader::default();
     while !reader.read_buffered(connection.unread())? {
-        // More than any response has makes no sense; it is not kept in memory.
+        // A server that sends more violates the protocol, and must not fill the memory.
         if connection.unread().len() > MAX_RESPONSE_SIZE {
             return Err(AttemptError::ConnectionLost);
         }
@@ -64,7 +64,7 @@
 }
 
 impl ResponseReader {
-    /// Reads the complete messages in `data` from the current position on; true at the end of the response.
+    /// Reads the complete messages in `data` from the current position; true at the end of the response.
     fn read_buffered(&mut self, data: &[u8]) -> Result<bool, ProtocolError> {
         while let Some(message) = parse_backend_message(&data[self.position..])? {
             let range = self.position..self.position + message.size;
@@ -87,7 +87,7 @@
         Ok(false)
     }
 
-    /// Adds a message to those of the response; adjacent ones share a range.
+    /// Adds a message to the response; adjacent messages share a range.
     fn add_message(&mut self, range: Range<usize>) {
         match self.messages.last_mut().filter(|last| last.end == range.start) {
             Some(last) => last.end = range.end,
--- a/crates/proxy/src/server/sqlstate.rs
+++ b/crates/proxy/src/server/sqlstate.rs
@@ -1,4 +1,4 @@
-//! What a server's error codes tell about an attempt.
+//! The outcomes of attempts that a server ended with an error code.
 
 use crate::protocol::SqlState;
 use pooler_routing::AttemptOutcome;
--- a/crates/proxy/src/server/statement.rs
+++ b/crates/proxy/src/server/statement.rs
@@ -1,4 +1,4 @@
-//! What passes between the client side and the server side: a client's statement, and the response to it.
+//! What the client side and the server side exchange: a client's statement, and the response to it.
 
 use std::ops::Range;
 
--- a/crates/proxy/src/socket_budget.rs
+++ b/crates/proxy/src/socket_budget.rs
@@ -1,26 +1,25 @@
-//! How the descriptors of the process are shared out.
+//! The distribution of the process's file descriptors among its uses.
 
-/// Of the descriptors so many at most are kept for the process itself, and for clients that are accepted only to be told
-/// to go away.
+/// The most descriptors that are reserved for the process itself.
 const MAX_RESERVE: usize = 40;
-/// The least number of clients that can be rejected at a time, where there are descriptors enough.
+/// The least number of clients that can be rejected at a time, if there are enough descriptors.
 const MIN_REJECTED_CLIENTS: usize = 8;
 
-/// How many connections of each kind there may be.
+/// The limits on the number of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketBudget {
-    /// Connections of clients that are served.
+    /// Clients that are served.
     pub clients: usize,
-    /// Connections of clients that are rejected, beyond these.
+    /// Clients beyond these that are accepted only to be rejected.
     pub rejected_clients: usize,
-    /// Clients that have made a request, beyond which the idle among them make room.
+    /// Clients that have made a request, beyond which idle ones are evicted.
     pub established_clients: usize,
     /// Connections to servers.
     pub servers: usize,
 }
 
 impl SocketBudget {
-    /// The budget of a process that may hold so many descriptors.
+    /// The budget of a process that may open so many descriptors.
     #[must_use]
     pub fn new(sockets: usize) -> Self {
         let reserve = (sockets / 4).min(MAX_RESERVE);
