--- a/crates/proxy/src/client/in_doubt_writes.rs
+++ b/crates/proxy/src/client/in_doubt_writes.rs
@@ -18,7 +18,7 @@
 struct InDoubtWrite {
     request_id: Box<str>,
     class: Box<str>,
-    endpoint: Option<EndpointId>,
+    endpoint: EndpointId,
     given_up_at: Timestamp,
 }
 
@@ -32,13 +32,7 @@
 impl InDoubtWrites {
     /// Records a write: the client's id of the request, its class, the endpoint that may have run it, and when it was
     /// given up.
-    pub fn record(
-        &self,
-        request_id: &str,
-        class: &str,
-        endpoint: Option<EndpointId>,
-        given_up_at: Timestamp,
-    ) {
+    pub fn record(&self, request_id: &str, class: &str, endpoint: EndpointId, given_up_at: Timestamp) {
         self.total.set(self.total.get().saturating_add(1));
         let mut latest = self.latest.borrow_mut();
         if latest.len() == MAX_KEPT {
@@ -58,9 +52,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "in doubt: {} since the start", self.total.get())?;
         for InDoubtWrite { request_id, class, endpoint, given_up_at } in self.latest.borrow().iter().rev() {
-            let endpoint = endpoint.as_ref().map_or("-", |endpoint| &endpoint.0);
             let millis = given_up_at.0 / MICROS_PER_MILLI;
-            write!(f, "; {class} id={request_id} at {endpoint}, {millis} ms")?;
+            write!(f, "; {class} id={request_id} at {}, {millis} ms", endpoint.0)?;
         }
         Ok(())
     }
--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -131,7 +131,7 @@
     }
     if let Some(endpoint) = may_have_run_at(response) {
         let now = context.router.now();
-        context.in_doubt_writes.record(request_id, &class.name, Some(endpoint.clone()), now);
+        context.in_doubt_writes.record(request_id, &class.name, endpoint.clone(), now);
     }
 }
 
