--- /dev/null
+++ b/crates/pooler/src/commands/check.rs
@@ -0,0 +1,33 @@
+//! `pooler check`: reads the files that a start would read, and reports all that is wrong with them.
+
+use crate::cli::CheckArguments;
+use crate::error::CommandError;
+use crate::registry_config::registry_config;
+use pooler_operator_config::{Operator, SCHEMA};
+use pooler_proxy::config::Config;
+use std::path::Path;
+
+/// Checks the files, or prints the schema of the operator's file.
+pub fn check(arguments: CheckArguments) -> Result<(), CommandError> {
+    if arguments.schema {
+        print!("{SCHEMA}");
+        return Ok(());
+    }
+    if arguments.file.is_none() && arguments.config.is_none() {
+        return Err(CommandError::NothingToCheck);
+    }
+    let operator_error = arguments.file.and_then(|path| check_operator_file(&path).err());
+    let config_error = arguments.config.and_then(|path| Config::load(&path).err());
+    let errors: Vec<CommandError> =
+        operator_error.into_iter().chain(config_error.map(CommandError::from)).collect();
+    if errors.is_empty() { Ok(()) } else { Err(CommandError::InvalidFiles(errors)) }
+}
+
+/// Checks the operator's file, and the files that it names.
+fn check_operator_file(path: &Path) -> Result<(), CommandError> {
+    let operator = Operator::load(path)?;
+    if let Some(settings) = &operator.registry {
+        registry_config(settings, None)?.client()?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/pooler/src/commands/run.rs
@@ -0,0 +1,29 @@
+//! `pooler run`: serves until the process is told to end.
+
+use crate::cli::RunArguments;
+use crate::error::CommandError;
+use crate::{logging, registry_discovery};
+use pooler_operator_config::Operator;
+use pooler_proxy::Pooler;
+use pooler_proxy::config::Config;
+
+/// Reads the files and serves, until the pooler has drained after a signal.
+pub fn run(arguments: RunArguments) -> Result<(), CommandError> {
+    let config_file = arguments.config.ok_or(CommandError::MissingConfig)?;
+    let operator = match &arguments.operator {
+        None => Operator::default(),
+        Some(path) => Operator::load(path)?,
+    };
+    let config = Config::load_at_start(&config_file)?;
+    logging::start(&operator.log);
+    let (name, seed) = (config.name.clone(), config.seed);
+    let pooler = Pooler::new(config, config_file)?;
+    match &operator.registry {
+        None => pooler.run(std::future::ready(())),
+        Some(settings) => {
+            let deregistration = registry_discovery::start(&pooler, settings, &name, seed)?;
+            pooler.run(deregistration);
+        }
+    }
+    Ok(())
+}
--- a/crates/pooler/src/logging.rs
+++ b/crates/pooler/src/logging.rs
@@ -1,13 +1,13 @@
-//! Log lines on standard error: text, or one JSON object a line.
+//! The log on standard error: text, or one JSON object a line.
 
 use pooler_operator_config::{LogFormat, LogSettings};
 use std::io::{self, Write};
 use tracing::Level;
 
-/// Standard error, where nobody may read any more: what can't be written is lost, and nothing else happens.
-struct Lossy;
+/// Standard error, which may be closed: what can't be written is dropped.
+struct LossyStderr;
 
-impl Write for Lossy {
+impl Write for LossyStderr {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = io::stderr().write_all(bytes);
         Ok(bytes.len())
@@ -18,7 +18,7 @@
     }
 }
 
-/// Has all that the program says from now on written so.
+/// Installs the log for the rest of the process.
 pub fn start(settings: &LogSettings) {
     let level = match settings.level.as_str() {
         "error" => Level::ERROR,
@@ -26,12 +26,14 @@
         "debug" => Level::DEBUG,
         _ => Level::INFO,
     };
-    // With the subscriber's own complaints left out: they would go to the same standard error, and end the process
-    // where that is closed.
-    let lines = tracing_subscriber::fmt().with_max_level(level).with_writer(|| Lossy).with_ansi(false);
-    let lines = lines.log_internal_errors(false);
+    let subscriber = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(|| LossyStderr)
+        .with_ansi(false)
+        // The subscriber would report its own errors to standard error, and end the process where that is closed.
+        .log_internal_errors(false);
     match settings.format {
-        LogFormat::Text => lines.with_target(false).init(),
-        LogFormat::Json => lines.json().flatten_event(true).init(),
+        LogFormat::Text => subscriber.with_target(false).init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
     }
 }
--- /dev/null
+++ b/crates/pooler/src/registry_config.rs
@@ -0,0 +1,126 @@
+//! From the operator's settings to the configuration of the registry client.
+
+use pooler_operator_config::{ReadWhat, RegistrySettings};
+use pooler_routing::TimeDelta;
+use pooler_routing::membership::SelfPreservation;
+use pooler_service_registry::client::{
+    BasicCredentials, ClientIdentity, Credentials, RegistryServer, SetupError,
+};
+use pooler_service_registry::eureka::mapping::{DrainRelease, InstanceMapping};
+use pooler_service_registry::eureka::networks::Networks;
+use pooler_service_registry::eureka::poll_schedule::PollSettings;
+use pooler_service_registry::{RegistryConfig, SelfRegistration};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The path of all applications.
+const ALL_APPS_PATH: &str = "/apps";
+/// Ids are no longer than this.
+const MAX_ID_CHARS: usize = 128;
+
+/// The pooler that registers itself.
+#[derive(Clone, Copy, Debug)]
+pub struct PoolerIdentity<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+/// The configuration for these settings. Without `pooler` the pooler does not register itself, whatever they say.
+///
+/// # Errors
+///
+/// When a server's URL can't be called.
+pub fn registry_config(
+    settings: &RegistrySettings,
+    pooler: Option<PoolerIdentity<'_>>,
+) -> Result<RegistryConfig, SetupError> {
+    let servers = settings.servers.iter().map(|server| RegistryServer::new(&server.url, server.at));
+    Ok(RegistryConfig {
+        servers: servers.collect::<Result<_, _>>()?,
+        credentials: credentials(settings),
+        call_timeout: settings.patience,
+        polling: PollSettings {
+            interval: time_delta(settings.interval),
+            max_backoff: time_delta(settings.longest_pause),
+            use_deltas: settings.read == ReadWhat::Delta,
+        },
+        max_body_bytes: settings.most_body,
+        mapping: mapping(settings),
+        self_preservation: SelfPreservation {
+            max_missing_fraction: settings.lost_share,
+            accept_after: settings.believe_after.map(time_delta),
+        },
+        snapshot_path: snapshot_path(settings),
+        self_registration: pooler.and_then(|pooler| self_registration(settings, pooler)),
+    })
+}
+
+fn credentials(settings: &RegistrySettings) -> Credentials {
+    let basic = settings
+        .user
+        .as_ref()
+        .map(|user| BasicCredentials { user: user.name.clone(), password_file: user.password_file.clone() });
+    let identity = settings.identity.as_ref().map(|(certificate_file, key_file)| ClientIdentity {
+        certificate_file: certificate_file.clone(),
+        key_file: key_file.clone(),
+    });
+    Credentials { basic, ca_file: settings.ca.clone(), identity }
+}
+
+fn mapping(settings: &RegistrySettings) -> InstanceMapping {
+    let mut networks = Networks::default();
+    for network in &settings.networks {
+        networks.add(network.prefix, network.zone.as_deref().map(Arc::from));
+    }
+    let drain_release =
+        if settings.lifts_overrides { DrainRelease::OverrideRemoval } else { DrainRelease::Registration };
+    InstanceMapping {
+        // Eureka writes application names in upper case.
+        apps: settings.apps.iter().map(|app| app.to_ascii_uppercase()).collect(),
+        networks,
+        group_key: settings.metadata.group.clone(),
+        default_group: settings.group,
+        zone_key: settings.metadata.zone.clone(),
+        role_key: settings.metadata.role.clone(),
+        primary_role: settings.primary.clone(),
+        started_key: settings.metadata.started.clone(),
+        use_secure_port: settings.secure_port,
+        drain_release,
+    }
+}
+
+fn snapshot_path(settings: &RegistrySettings) -> String {
+    match settings.read {
+        ReadWhat::Delta | ReadWhat::Full => ALL_APPS_PATH.to_owned(),
+        ReadWhat::App => {
+            let app = settings.apps.first().map_or("", String::as_str);
+            format!("{ALL_APPS_PATH}/{app}")
+        }
+        ReadWhat::Vip => format!("/vips/{}", settings.vip),
+    }
+}
+
+fn self_registration(settings: &RegistrySettings, pooler: PoolerIdentity<'_>) -> Option<SelfRegistration> {
+    let registration = settings.register.as_ref()?;
+    let default_id = || id_for_url(&format!("{}:{}", pooler.name, pooler.address));
+    Some(SelfRegistration {
+        app: registration.app.clone(),
+        id: registration.id.clone().unwrap_or_else(default_id),
+        address: pooler.address,
+        renewal_interval: time_delta(registration.renew),
+        lease_duration: time_delta(registration.expires),
+    })
+}
+
+/// An id that can stand in a URL, whatever the platform calls this pooler.
+fn id_for_url(id: &str) -> String {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "._:-".contains(letter);
+    id.chars().take(MAX_ID_CHARS).map(|letter| if is_allowed(letter) { letter } else { '-' }).collect()
+}
+
+fn time_delta(duration: Duration) -> TimeDelta {
+    TimeDelta(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
+}
--- /dev/null
+++ b/crates/pooler/src/registry_discovery.rs
@@ -0,0 +1,99 @@
+//! Discovery through a service registry, beside the platform's own: watches the registry, and keeps the pooler's
+//! registration in it.
+
+use crate::registry_config::{PoolerIdentity, registry_config};
+use pooler_operator_config::RegistrySettings;
+use pooler_proxy::Pooler;
+use pooler_proxy::discovery::endpoint_directory::{EndpointUpdates, REGISTRY};
+use pooler_routing::membership::{MergeResult, WatchEvent};
+use pooler_routing::{Lifecycle, Timestamp};
+use pooler_service_registry::client::SetupError;
+use pooler_service_registry::eureka::instance::InstanceStatus;
+use pooler_service_registry::{
+    EventSink, Registrar, RegistrationState, RegistryConfig, RegistryCounters, RegistryWatcher,
+};
+use std::fmt;
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How long the end of the process may wait for the registry to take the registration back. The platform grants more
+/// than that beyond the last responses.
+const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Starts watching a registry, and registers the pooler there if that is configured. The returned future takes the
+/// registration back; it is the last thing to do before the process ends.
+///
+/// # Errors
+///
+/// When a file or a URL can't be used.
+pub fn start(
+    pooler: &Pooler,
+    settings: &RegistrySettings,
+    name: &str,
+    seed: u64,
+) -> Result<impl Future<Output = ()> + use<>, SetupError> {
+    let identity = PoolerIdentity { name, address: pooler.listening() };
+    let config = registry_config(settings, Some(identity))?;
+    let registration = Rc::new(RegistrationState::starting());
+    let counters = Rc::new(RegistryCounters::default());
+    let updates = pooler.endpoint_updates();
+    updates.set_self_preservation(REGISTRY, config.self_preservation);
+    let sink = DirectorySink { updates, registration: registration.clone() };
+    start_registrar(pooler, &config, &sink, &counters)?;
+    let registers_itself = config.self_registration.is_some();
+    let watcher = RegistryWatcher::new(config, seed, sink, counters.clone())?;
+    pooler.add_to_status_report(counters);
+    pooler.spawn(watcher.run());
+    Ok(async move {
+        if registers_itself {
+            registration.set_status(None);
+            registration.wait_deregistered(DEREGISTRATION_TIMEOUT).await;
+        }
+    })
+}
+
+/// Starts the registrar, if the pooler registers itself, and has it announce the drain.
+fn start_registrar(
+    pooler: &Pooler,
+    config: &RegistryConfig,
+    sink: &DirectorySink,
+    counters: &Rc<RegistryCounters>,
+) -> Result<(), SetupError> {
+    let Some(registrar) = Registrar::new(config, sink.clone(), counters.clone())? else { return Ok(()) };
+    let registration = sink.registration.clone();
+    pooler.spawn(registrar.run(registration.clone()));
+    let stages = pooler.shutdown_stages();
+    pooler.spawn(async move {
+        stages.draining.wait().await;
+        registration.set_status(Some(InstanceStatus::OutOfService));
+    });
+    Ok(())
+}
+
+/// Applies the registry's watch events to the pooler's endpoint directory.
+#[derive(Clone)]
+struct DirectorySink {
+    updates: EndpointUpdates,
+    registration: Rc<RegistrationState>,
+}
+
+impl EventSink for DirectorySink {
+    fn now(&self) -> Timestamp {
+        self.updates.now()
+    }
+
+    fn apply(&self, event: WatchEvent) -> MergeResult {
+        let result = self.updates.apply(REGISTRY, event);
+        // The pooler can serve once it knows an endpoint to serve from.
+        let has_active = result.changed.iter().any(|entry| entry.lifecycle == Lifecycle::Active);
+        if has_active && self.registration.status() == Some(InstanceStatus::Starting) {
+            self.registration.set_status(Some(InstanceStatus::Up));
+        }
+        result
+    }
+
+    fn log(&self, line: &dyn fmt::Display) {
+        tracing::warn!("{line}");
+    }
+}
--- a/crates/service-registry/src/eureka/lease.rs
+++ b/crates/service-registry/src/eureka/lease.rs
@@ -1,115 +1,133 @@
-//! The pooler's own registration: what to tell the registry of this pooler, and when. A registry that is away delays
-//! nothing: what is due is tried, and tried again later. No I/O, no clock.
+//! The lease of the pooler's own registration: which request is due, and when. An unavailable registry delays nothing:
+//! a request that failed is retried later. No I/O, no clock.
 
-use super::model::Status;
+use super::instance::InstanceStatus;
 use pooler_routing::{TimeDelta, Timestamp};
 
-/// A step that failed is tried again after this.
-const AGAIN: TimeDelta = TimeDelta::from_millis(1_000);
-const LONGEST_AGAIN: TimeDelta = TimeDelta::from_millis(30_000);
+/// The delay before the first retry of a failed request; it doubles from there.
+const INITIAL_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(1_000);
+/// The longest delay between two retries.
+const MAX_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(30_000);
+/// The retry delay doubles no more often than this.
+const MAX_RETRY_DOUBLINGS: u32 = 5;
 
-/// What to tell.
+/// A request of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// All of this pooler, with its status (`POST apps/{app}`).
-    Register(Status),
-    /// That it is still there (`PUT apps/{app}/{id}`).
-    Renew(Status),
-    /// That it has ended (`DELETE apps/{app}/{id}`).
+pub enum LeaseRequest {
+    /// Registers the pooler with all its data and this status (`POST apps/{app}`).
+    Register(InstanceStatus),
+    /// Renews the lease: the heartbeat (`PUT apps/{app}/{id}`).
+    Renew(InstanceStatus),
+    /// Takes the registration back (`DELETE apps/{app}/{id}`).
     Cancel,
 }
 
-/// What came of it.
+/// The outcome of a request of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// It was taken.
-    Taken,
-    /// The registry does not know this pooler.
-    Unknown,
-    /// It was not taken, or nobody knows.
-    Nothing,
+pub enum LeaseResponse {
+    /// The registry accepted it.
+    Accepted,
+    /// The registry knows no such registration.
+    NotRegistered,
+    /// It failed, or its outcome is unknown.
+    Failed,
 }
 
-/// The registration as it stands.
+/// The lease as it stands.
 #[derive(Clone, Debug)]
-pub struct Lease {
-    renew: TimeDelta,
-    wanted: Option<Status>,
-    told: Option<Status>,
-    /// When this pooler last changed itself, in ms; later with each change.
-    dirty_ms: i64,
-    next: Timestamp,
-    failures: u32,
+pub struct RegistrationLease {
+    renewal_interval: TimeDelta,
+    /// `None` once the pooler has ended.
+    desired_status: Option<InstanceStatus>,
+    /// What the registry accepted last; `None` while it holds no registration.
+    registered_status: Option<InstanceStatus>,
+    /// When the pooler last changed itself, in ms: Eureka's `lastDirtyTimestamp`. Each change makes it later.
+    last_dirty_ms: i64,
+    next_request_at: Timestamp,
+    consecutive_failures: u32,
 }
 
-impl Lease {
-    /// One that is to be renewed this often, starting at `now` with [`Status::Starting`].
+impl RegistrationLease {
+    /// A lease that is renewed at this interval and starts at `now` with [`InstanceStatus::Starting`].
     #[must_use]
-    pub fn new(renew: TimeDelta, now: Timestamp) -> Self {
+    pub fn new(renewal_interval: TimeDelta, now: Timestamp) -> Self {
         Self {
-            renew,
-            wanted: Some(Status::Starting),
-            told: None,
-            dirty_ms: now.0 / 1_000,
-            next: now,
-            failures: 0,
+            renewal_interval,
+            desired_status: Some(InstanceStatus::Starting),
+            registered_status: None,
+            last_dirty_ms: now.0 / 1_000,
+            next_request_at: now,
+            consecutive_failures: 0,
         }
     }
 
-    /// Wants another status told; `None` for the end. It is due at once, whatever failed before.
-    pub fn want(&mut self, now: Timestamp, status: Option<Status>) {
-        if self.wanted != status {
-            self.wanted = status;
-            self.dirty_ms = (now.0 / 1_000).max(self.dirty_ms + 1);
-            (self.next, self.failures) = (now, 0);
+    /// Sets the pooler's status; `None` once it has ended. A changed status is due at once, whatever failed before.
+    pub fn set_status(&mut self, now: Timestamp, status: Option<InstanceStatus>) {
+        if self.desired_status != status {
+            self.desired_status = status;
+            self.advance_last_dirty(now);
+            self.next_request_at = now;
+            self.consecutive_failures = 0;
         }
     }
 
-    /// The stamp that goes with what is told.
+    /// The `lastDirtyTimestamp` that goes with the next request.
     #[must_use]
-    pub fn dirty_ms(&self) -> i64 {
-        self.dirty_ms
+    pub fn last_dirty_ms(&self) -> i64 {
+        self.last_dirty_ms
     }
 
-    /// When something is due; `None` once the registry knows that this pooler has ended.
+    /// When the next request is due; `None` once the registry has taken the registration back.
     #[must_use]
-    pub fn due(&self) -> Option<Timestamp> {
-        (self.wanted.is_some() || self.told.is_some()).then_some(self.next)
+    pub fn next_request_at(&self) -> Option<Timestamp> {
+        let is_open = self.desired_status.is_some() || self.registered_status.is_some();
+        is_open.then_some(self.next_request_at)
     }
 
-    /// What to tell, if it is due.
+    /// The request that is due, if one is.
     #[must_use]
-    pub fn act(&self, now: Timestamp) -> Option<Act> {
-        if self.due().is_none_or(|due| due > now) {
+    pub fn due_request(&self, now: Timestamp) -> Option<LeaseRequest> {
+        if self.next_request_at().is_none_or(|due| due > now) {
             return None;
         }
-        match (self.wanted, self.told) {
-            (None, Some(_)) => Some(Act::Cancel),
+        match (self.desired_status, self.registered_status) {
+            (None, Some(_)) => Some(LeaseRequest::Cancel),
             (None, None) => None,
-            (Some(status), told) if told != Some(status) => Some(Act::Register(status)),
-            (Some(status), _) => Some(Act::Renew(status)),
+            (Some(desired), registered) if registered == Some(desired) => Some(LeaseRequest::Renew(desired)),
+            (Some(desired), _) => Some(LeaseRequest::Register(desired)),
         }
     }
 
-    /// What came of it.
-    pub fn done(&mut self, now: Timestamp, act: Act, came: Came) {
-        match (act, came) {
-            (Act::Register(status) | Act::Renew(status), Came::Taken) => {
-                self.told = Some(status);
-                (self.next, self.failures) = (now + self.renew, 0);
+    /// Records the outcome of a request.
+    pub fn record_response(&mut self, now: Timestamp, request: LeaseRequest, response: LeaseResponse) {
+        match (request, response) {
+            (LeaseRequest::Register(status) | LeaseRequest::Renew(status), LeaseResponse::Accepted) => {
+                self.registered_status = Some(status);
+                self.next_request_at = now + self.renewal_interval;
+                self.consecutive_failures = 0;
             }
-            (Act::Cancel, Came::Taken | Came::Unknown) => self.told = None,
-            // It has forgotten this pooler: register at once, as something new.
-            (Act::Renew(_), Came::Unknown) => {
-                self.told = None;
-                self.dirty_ms = (now.0 / 1_000).max(self.dirty_ms + 1);
-                self.next = now;
+            (LeaseRequest::Cancel, LeaseResponse::Accepted | LeaseResponse::NotRegistered) => {
+                self.registered_status = None;
+            }
+            // The registry lost the registration: register at once, as a changed instance.
+            (LeaseRequest::Renew(_), LeaseResponse::NotRegistered) => {
+                self.registered_status = None;
+                self.advance_last_dirty(now);
+                self.next_request_at = now;
             }
             _ => {
-                let again = AGAIN.mul_f64(f64::from(1_u32 << self.failures.min(5))).min(LONGEST_AGAIN);
-                self.failures += 1;
-                self.next = now + again;
+                self.next_request_at = now + self.retry_delay();
+                self.consecutive_failures += 1;
             }
         }
     }
+
+    fn advance_last_dirty(&mut self, now: Timestamp) {
+        self.last_dirty_ms = (now.0 / 1_000).max(self.last_dirty_ms + 1);
+    }
+
+    fn retry_delay(&self) -> TimeDelta {
+        let doublings = self.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
+        INITIAL_RETRY_DELAY.mul_f64(f64::from(1_u32 << doublings)).min(MAX_RETRY_DELAY)
+    }
 }
--- a/crates/service-registry/src/eureka/mapping.rs
+++ b/crates/service-registry/src/eureka/mapping.rs
@@ -1,158 +1,204 @@
-//! From an instance to a claim on a member, as the operator's file says: which applications are meant, where boxes may
-//! lie, which metadata hold group, zone, role and start. No I/O.
+//! From an instance to a claim on an endpoint, as the operator's file says: which applications are meant, where
+//! endpoints may lie, which metadata hold group, zone, role and start. No I/O.
 
-use super::model::{ActionType, Instance, Status};
-use ipnet::{IpNet, Ipv4Net, Ipv6Net};
+use super::instance::{ActionType, Instance, InstanceStatus};
+use super::networks::Networks;
 use pooler_routing::membership::{EndpointClaim, RecordAuthority, RecordVersion};
 use pooler_routing::{EndpointId, GroupId, Lifecycle, Timestamp};
-use prefix_trie::PrefixMap;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// The networks in which boxes may lie, each with the zone of what lies in it where that is known.
-#[derive(Clone, Debug, Default)]
-pub struct Networks {
-    v4: PrefixMap<Ipv4Net, Option<Arc<str>>>,
-    v6: PrefixMap<Ipv6Net, Option<Arc<str>>>,
-}
-
-impl Networks {
-    /// Adds a network; false if it is there already, and then stays as it was.
-    pub fn add(&mut self, network: IpNet, zone: Option<Arc<str>>) -> bool {
-        match network.trunc() {
-            IpNet::V4(net) => !self.v4.contains_key(&net) && self.v4.insert(net, zone).is_none(),
-            IpNet::V6(net) => !self.v6.contains_key(&net) && self.v6.insert(net, zone).is_none(),
-        }
-    }
+/// Text from an instance is quoted in errors up to this many characters.
+const MAX_QUOTED_CHARS: usize = 64;
 
-    /// The smallest network that an address lies in, by its zone; `None` outside of all.
-    #[must_use]
-    pub fn zone(&self, address: IpAddr) -> Option<Option<Arc<str>>> {
-        match address.to_canonical() {
-            IpAddr::V4(address) => self.v4.get_lpm(&address.into()).map(|(_, zone)| zone.clone()),
-            IpAddr::V6(address) => self.v6.get_lpm(&address.into()).map(|(_, zone)| zone.clone()),
-        }
-    }
-}
-
-/// What is done once somebody takes back a status that was set over an instance's own. Such a change leaves the
-/// instance's own stamp as it was.
+/// What ends a drain that somebody set over an instance's own status. Taking such an override back leaves the
+/// instance's own `lastDirtyTimestamp` as it was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Lifts {
-    /// Nothing: who was told to drain is back only with a later stamp of its own.
+pub enum DrainRelease {
+    /// Only a new registration, with a later stamp of the instance's own.
     #[default]
     Registration,
-    /// It counts if the same server of the registry says so of the same lease, and later.
-    Override,
+    /// Taking the override back, if the same server of the registry reports it later and under the same lease.
+    OverrideRemoval,
 }
 
-/// How instances become members.
+/// How instances become endpoints.
 #[derive(Clone, Debug, Default)]
-pub struct Mapping {
-    /// The applications whose instances are boxes, in upper case.
+pub struct InstanceMapping {
+    /// The applications whose instances are endpoints, in upper case.
     pub apps: BTreeSet<String>,
-    /// Where boxes may lie.
+    /// Where endpoints may lie.
     pub networks: Networks,
     /// The metadata key of the group; the group is a whole number.
     pub group_key: String,
-    /// The group of who names none; `None` refuses it.
-    pub group: Option<i64>,
+    /// The group of instances that name none; `None` rejects them.
+    pub default_group: Option<i64>,
     /// The metadata key of the zone.
     pub zone_key: String,
     /// The metadata key of the role.
     pub role_key: String,
-    /// What stands there for a primary.
-    pub primary: String,
+    /// The role of a primary.
+    pub primary_role: String,
     /// The metadata key of the last start, in ms since 1970.
     pub started_key: String,
-    /// Whether members are reached on the secure port.
-    pub secure_port: bool,
-    /// What lifts a drain.
-    pub lifts: Lifts,
+    /// Whether endpoints are reached on the secure port.
+    pub use_secure_port: bool,
+    /// What ends a drain.
+    pub drain_release: DrainRelease,
 }
 
-/// Why an instance is no member.
+/// Why an instance is no endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum MappingError {
     /// It belongs to another application.
     #[error("of another application")]
-    NotOurs,
+    OtherApplication,
     /// Its address is no IP address with a port.
-    #[error("no address: '{0}'")]
-    Address(String),
+    #[error("no address: '{address}:{port:?}'")]
+    InvalidAddress {
+        /// Its address as it is written.
+        address: String,
+        /// Its port, if it has one.
+        port: Option<u16>,
+    },
     /// It lies outside of all networks that are allowed.
-    #[error("{0} lies outside of the networks in which boxes may lie")]
-    Outside(IpAddr),
-    /// It names no group, or one that is no number.
+    #[error("{0} lies outside of the networks in which endpoints may lie")]
+    OutsideNetworks(IpAddr),
+    /// It names no group, and there is no default.
+    #[error("no group: ''")]
+    MissingGroup,
+    /// It names a group that is no number.
     #[error("no group: '{0}'")]
-    Group(String),
+    InvalidGroup(String),
 }
 
-impl Mapping {
-    /// The claim that an instance makes, as told by the registry's server of this number.
+/// Where an endpoint listens, and the zone of its network where that is known.
+struct Location {
+    address: SocketAddr,
+    zone: Option<Arc<str>>,
+}
+
+impl InstanceMapping {
+    /// The claim that an instance makes, as reported by the registry's server of this number.
     ///
     /// # Errors
     ///
-    /// When it can't be a member. One that has left is named whatever else it says.
-    pub fn claim(&self, instance: &Instance, server: usize) -> Result<EndpointClaim, Refused> {
+    /// When it can't be an endpoint. Instances that drain or were deleted are mapped whatever else they say.
+    pub fn claim(&self, instance: &Instance, server: usize) -> Result<EndpointClaim, MappingError> {
         if !self.apps.contains(&instance.app.to_ascii_uppercase()) {
-            return Err(Refused::NotOurs);
+            return Err(MappingError::OtherApplication);
         }
-        let meta = |key: &str| instance.metadata.get(key).map(String::as_str).filter(|text| !text.is_empty());
-        let state = match (instance.action, instance.status) {
-            (ActionType::Deleted, _) => Lifecycle::Removed,
-            (_, Status::Up) => Lifecycle::Active,
-            _ => Lifecycle::Draining,
-        };
-        let place = self.place(instance);
-        let group = match meta(&self.group_key) {
-            Some(text) => text.parse().map(Some).map_err(|_| Refused::Group(text.chars().take(64).collect())),
-            None => self.group.map(Some).ok_or_else(|| Refused::Group(String::new())),
-        };
-        // Who drains or is gone is taken at its word, though the rest of what it says can't be used.
-        let (place, group) = match state {
-            Lifecycle::Active => (Some(place?), group?),
-            _ => (place.ok(), group.ok().flatten()),
+        let lifecycle = lifecycle_of(instance);
+        let location = self.location(instance);
+        let group = self.group(instance);
+        // A drain or a removal counts even if the rest of the instance can't be used.
+        let (location, group) = match lifecycle {
+            Lifecycle::Active => (Some(location?), Some(group?)),
+            Lifecycle::Draining | Lifecycle::Removed => (location.ok(), group.ok()),
         };
-        let zone = meta(&self.zone_key).map(str::to_owned);
-        let zone = zone.or_else(|| place.as_ref().and_then(|(_, zone)| zone.as_deref().map(str::to_owned)));
-        let started = meta(&self.started_key).and_then(|text| text.parse::<i64>().ok()).filter(|ms| *ms > 0);
-        let started = started.map(|ms| Timestamp(ms.saturating_mul(1_000)));
-        // A registration that is not ready yet comes before the same registration in service.
-        let ready =
-            !matches!(instance.status, Status::Starting | Status::Unknown) || state == Lifecycle::Removed;
-        let stamp = instance.dirty_ms.saturating_mul(2).saturating_add(i64::from(ready));
-        let authority = RecordAuthority { server, lease_started_ms: instance.registered_ms };
-        let authority = (self.lifts == Lifts::Override).then_some(authority);
+        let network_zone = location.as_ref().and_then(|location| location.zone.as_deref());
+        let zone = metadata(instance, &self.zone_key).or(network_zone).unwrap_or_default().to_owned();
+        let started_at = self.started_at(instance);
         Ok(EndpointClaim {
-            endpoint: EndpointId(Arc::from(instance.id.as_str())),
-            address: place.map(|(address, _)| address),
-            group: group.map(GroupId),
-            zone: zone.unwrap_or_default(),
-            primary: meta(&self.role_key).is_some_and(|role| role == self.primary),
-            started_at: started,
-            lifecycle: state,
+            endpoint: endpoint_id(instance),
+            address: location.map(|location| location.address),
+            group,
+            zone,
+            primary: metadata(instance, &self.role_key) == Some(self.primary_role.as_str()),
+            started_at,
+            lifecycle,
             version: RecordVersion {
-                started_at: started,
-                change_stamp: stamp,
-                authority,
-                updated_at_ms: instance.updated_ms,
+                started_at,
+                change_stamp: change_stamp(instance, lifecycle),
+                authority: self.authority(instance, server),
+                updated_at_ms: instance.last_updated_ms,
             },
         })
     }
 
-    fn place(&self, instance: &Instance) -> Result<(SocketAddr, Option<Arc<str>>), Refused> {
-        let port = if self.secure_port { instance.secure_port } else { instance.port };
-        let address = instance.ip.parse::<IpAddr>().ok().zip(port);
-        let Some((ip, port)) = address else {
-            return Err(Refused::Address(format!(
-                "{}:{port:?}",
-                instance.ip.chars().take(64).collect::<String>()
-            )));
+    fn location(&self, instance: &Instance) -> Result<Location, MappingError> {
+        let port = if self.use_secure_port { instance.secure_port } else { instance.port };
+        let ip = instance.ip_address.parse::<IpAddr>();
+        let (Ok(ip), Some(port)) = (ip, port) else {
+            return Err(MappingError::InvalidAddress { address: quote(&instance.ip_address), port });
         };
         let ip = ip.to_canonical();
-        let zone = self.networks.zone(ip).ok_or(Refused::Outside(ip))?;
-        Ok((SocketAddr::new(ip, port), zone))
+        let network = self.networks.find(ip).ok_or(MappingError::OutsideNetworks(ip))?;
+        Ok(Location { address: SocketAddr::new(ip, port), zone: network.zone })
+    }
+
+    fn group(&self, instance: &Instance) -> Result<GroupId, MappingError> {
+        let number = match metadata(instance, &self.group_key) {
+            Some(text) => text.parse().map_err(|_| MappingError::InvalidGroup(quote(text)))?,
+            None => self.default_group.ok_or(MappingError::MissingGroup)?,
+        };
+        Ok(GroupId(number))
+    }
+
+    fn started_at(&self, instance: &Instance) -> Option<Timestamp> {
+        let ms: i64 = metadata(instance, &self.started_key)?.parse().ok()?;
+        (ms > 0).then(|| Timestamp(ms.saturating_mul(1_000)))
+    }
+
+    fn authority(&self, instance: &Instance, server: usize) -> Option<RecordAuthority> {
+        match self.drain_release {
+            DrainRelease::Registration => None,
+            DrainRelease::OverrideRemoval => {
+                Some(RecordAuthority { server, lease_started_ms: instance.lease_started_ms })
+            }
+        }
+    }
+}
+
+/// The claim for an instance that [`InstanceMapping::claim`] rejected: it exists and must get nothing, neither where it
+/// says that it is nor where it was before.
+pub(super) fn rejected_claim(instance: &Instance) -> EndpointClaim {
+    EndpointClaim {
+        endpoint: endpoint_id(instance),
+        address: None,
+        group: None,
+        zone: String::new(),
+        primary: false,
+        started_at: None,
+        lifecycle: Lifecycle::Draining,
+        version: RecordVersion { change_stamp: ready_stamp(instance), ..RecordVersion::default() },
+    }
+}
+
+/// The greatest change stamp of an instance's registration: that of the instance once it is ready.
+pub(super) fn ready_stamp(instance: &Instance) -> i64 {
+    instance.last_dirty_ms.saturating_mul(2).saturating_add(1)
+}
+
+/// The change stamp of a claim. A registration that is not ready yet comes before the same one in service, though its
+/// `lastDirtyTimestamp` is the same.
+fn change_stamp(instance: &Instance, lifecycle: Lifecycle) -> i64 {
+    let is_ready = !matches!(instance.status, InstanceStatus::Starting | InstanceStatus::Unknown);
+    if is_ready || lifecycle == Lifecycle::Removed {
+        ready_stamp(instance)
+    } else {
+        instance.last_dirty_ms.saturating_mul(2)
     }
 }
+
+fn lifecycle_of(instance: &Instance) -> Lifecycle {
+    match (instance.action, instance.status) {
+        (ActionType::Deleted, _) => Lifecycle::Removed,
+        (_, InstanceStatus::Up) => Lifecycle::Active,
+        _ => Lifecycle::Draining,
+    }
+}
+
+fn endpoint_id(instance: &Instance) -> EndpointId {
+    EndpointId(Arc::from(instance.id.as_str()))
+}
+
+/// A metadata value that is not empty.
+fn metadata<'i>(instance: &'i Instance, key: &str) -> Option<&'i str> {
+    instance.metadata.get(key).map(String::as_str).filter(|value| !value.is_empty())
+}
+
+fn quote(text: &str) -> String {
+    text.chars().take(MAX_QUOTED_CHARS).collect()
+}
--- a/crates/service-registry/src/eureka/mod.rs
+++ b/crates/service-registry/src/eureka/mod.rs
@@ -1,10 +1,11 @@
-//! Eureka's REST API, the client's side, without I/O: bodies, instances, what they mean for membership, and when to
-//! ask for what.
+//! The client's side of Eureka's REST API without I/O: response bodies, instances, the claims that they make, when to
+//! poll, and when to renew the pooler's own registration.
 
 pub mod body;
+pub mod decoder;
+pub mod digest;
+pub mod instance;
 pub mod lease;
 pub mod mapping;
-pub mod mirror;
-pub mod model;
-pub mod poller;
-pub mod reading;
+pub mod networks;
+pub mod poll_schedule;
--- a/crates/service-registry/src/lib.rs
+++ b/crates/service-registry/src/lib.rs
@@ -1,6 +1,19 @@
-//! Members from a registry. [`eureka`] is the protocol without I/O; [`client`] takes it over HTTP, and [`follow`] keeps
-//! asking and hands what comes to whoever it is given.
+//! Endpoints from a service registry that speaks Eureka's REST API.
+//!
+//! [`eureka`] is the protocol without I/O, [`client`] speaks it over HTTP. [`RegistryWatcher`] polls a registry and
+//! applies what it reports to an [`EventSink`]; [`Registrar`] keeps the pooler's own registration.
 
 pub mod client;
+mod config;
+mod counters;
 pub mod eureka;
-pub mod follow;
+mod registrar;
+mod sink;
+mod timer;
+mod watcher;
+
+pub use config::{RegistryConfig, SelfRegistration};
+pub use counters::RegistryCounters;
+pub use registrar::{Registrar, RegistrationState};
+pub use sink::EventSink;
+pub use watcher::RegistryWatcher;
--- /dev/null
+++ b/crates/service-registry/src/registrar.rs
@@ -0,0 +1,183 @@
+//! Keeps the pooler's own registration until the pooler has ended and the registry knows of it.
+
+use crate::client::{ApiRequest, CallError, Client, DiscardBody, RegistryServer, SetupError};
+use crate::config::{RegistryConfig, SelfRegistration};
+use crate::counters::{RegistryCounters, increment};
+use crate::eureka::instance::InstanceStatus;
+use crate::eureka::lease::{LeaseRequest, LeaseResponse, RegistrationLease};
+use crate::sink::EventSink;
+use crate::timer::sleep_until;
+use async_io::Timer;
+use event_listener::Event;
+use futures_lite::future::or;
+use hyper::Method;
+use pooler_routing::TimeDelta;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Registers the pooler and renews its lease. It has a connection of its own: a snapshot that takes long must not hold
+/// up the announcement of a drain.
+pub struct Registrar<S> {
+    servers: Vec<RegistryServer>,
+    client: Client,
+    registration: SelfRegistration,
+    sink: S,
+    counters: Rc<RegistryCounters>,
+}
+
+impl<S: EventSink> Registrar<S> {
+    /// A registrar for what the configuration says of this pooler; `None` where it says nothing.
+    ///
+    /// # Errors
+    ///
+    /// When a file can't be used.
+    pub fn new(
+        config: &RegistryConfig,
+        sink: S,
+        counters: Rc<RegistryCounters>,
+    ) -> Result<Option<Self>, SetupError> {
+        let Some(registration) = config.self_registration.clone() else { return Ok(None) };
+        let client = config.client()?;
+        Ok(Some(Self { servers: config.servers.clone(), client, registration, sink, counters }))
+    }
+
+    /// Keeps the registration until the pooler has ended and the registry has taken it back.
+    pub async fn run(mut self, state: Rc<RegistrationState>) {
+        let mut lease = RegistrationLease::new(self.registration.renewal_interval, self.sink.now());
+        let mut server = 0;
+        loop {
+            let status_changed = state.status_changed.listen();
+            lease.set_status(self.sink.now(), state.status());
+            match (lease.due_request(self.sink.now()), lease.next_request_at()) {
+                (None, None) => return state.set_deregistered(),
+                (None, Some(due)) => or(sleep_until(self.sink.now(), due), status_changed).await,
+                (Some(request), _) => {
+                    let sent = self.send(server, request, lease.last_dirty_ms());
+                    // A status that changes while a server does not respond is announced at once, to another server.
+                    let interrupted = async {
+                        status_changed.await;
+                        LeaseResponse::Failed
+                    };
+                    let response = or(sent, interrupted).await;
+                    lease.record_response(self.sink.now(), request, response);
+                    self.count(response);
+                    if response == LeaseResponse::Failed {
+                        server = (server + 1) % self.servers.len();
+                    }
+                }
+            }
+        }
+    }
+
+    async fn send(&mut self, server: usize, request: LeaseRequest, last_dirty_ms: i64) -> LeaseResponse {
+        let SelfRegistration { app, id, .. } = &self.registration;
+        let (method, path, json) = match request {
+            LeaseRequest::Register(status) => {
+                let instance = instance_json(&self.registration, status, last_dirty_ms);
+                (Method::POST, format!("/apps/{app}"), Some(instance))
+            }
+            LeaseRequest::Renew(status) => {
+                let status = status.name();
+                let path = format!("/apps/{app}/{id}?status={status}&lastDirtyTimestamp={last_dirty_ms}");
+                (Method::PUT, path, None)
+            }
+            LeaseRequest::Cancel => (Method::DELETE, format!("/apps/{app}/{id}"), None),
+        };
+        let request = ApiRequest { method, path: &path, json };
+        match self.client.call(&self.servers[server], &request, &mut DiscardBody).await {
+            Ok(()) => LeaseResponse::Accepted,
+            Err(CallError::Status { status: 404, .. }) => LeaseResponse::NotRegistered,
+            Err(_) => LeaseResponse::Failed,
+        }
+    }
+
+    fn count(&self, response: LeaseResponse) {
+        increment(match response {
+            LeaseResponse::Accepted => &self.counters.lease_requests_accepted,
+            LeaseResponse::NotRegistered | LeaseResponse::Failed => &self.counters.lease_requests_failed,
+        });
+    }
+}
+
+/// The instance as Eureka's schema has it.
+fn instance_json(registration: &SelfRegistration, status: InstanceStatus, last_dirty_ms: i64) -> Vec<u8> {
+    let ip = registration.address.ip().to_string();
+    let seconds = |delta: TimeDelta| (delta.0 / 1_000_000).max(1);
+    let instance = serde_json::json!({"instance": {
+        "instanceId": registration.id,
+        "app": registration.app.to_ascii_uppercase(),
+        "hostName": ip,
+        "ipAddr": ip,
+        "vipAddress": registration.app.to_ascii_lowercase(),
+        "port": {"$": registration.address.port(), "@enabled": "true"},
+        "securePort": {"$": 443, "@enabled": "false"},
+        "status": status.name(),
+        "overriddenstatus": "UNKNOWN",
+        "dataCenterInfo": {
+            "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
+            "name": "MyOwn",
+        },
+        "leaseInfo": {
+            "renewalIntervalInSecs": seconds(registration.renewal_interval),
+            "durationInSecs": seconds(registration.lease_duration),
+        },
+        "lastDirtyTimestamp": last_dirty_ms.to_string(),
+    }});
+    instance.to_string().into_bytes()
+}
+
+/// The pooler's status, from the pooler to its [`Registrar`], and the end of the registration back.
+#[derive(Debug)]
+pub struct RegistrationState {
+    status: Cell<Option<InstanceStatus>>,
+    status_changed: Event,
+    is_deregistered: Cell<bool>,
+    deregistered: Event,
+}
+
+impl RegistrationState {
+    /// The state of a pooler that is starting.
+    #[must_use]
+    pub fn starting() -> Self {
+        Self {
+            status: Cell::new(Some(InstanceStatus::Starting)),
+            status_changed: Event::new(),
+            is_deregistered: Cell::new(false),
+            deregistered: Event::new(),
+        }
+    }
+
+    /// The pooler's status; `None` once it has ended.
+    #[must_use]
+    pub fn status(&self) -> Option<InstanceStatus> {
+        self.status.get()
+    }
+
+    /// Sets the pooler's status; `None` once it has ended.
+    pub fn set_status(&self, status: Option<InstanceStatus>) {
+        self.status.set(status);
+        self.status_changed.notify(usize::MAX);
+    }
+
+    /// Waits until the registry has taken the registration back, but no longer than this.
+    pub async fn wait_deregistered(&self, timeout: Duration) {
+        let deregistered = async {
+            while !self.is_deregistered.get() {
+                let listener = self.deregistered.listen();
+                if !self.is_deregistered.get() {
+                    listener.await;
+                }
+            }
+        };
+        let expired = async {
+            Timer::after(timeout).await;
+        };
+        or(deregistered, expired).await;
+    }
+
+    fn set_deregistered(&self) {
+        self.is_deregistered.set(true);
+        self.deregistered.notify(usize::MAX);
+    }
+}
--- a/crates/service-registry/tests/bodies.rs
+++ b/crates/service-registry/tests/bodies.rs
@@ -1,16 +1,19 @@
-//! Bodies as registries write them, cut anywhere; and bodies that are none.
+//! Bodies as registries write them, split anywhere, and malformed ones.
 
 use pooler_routing::Lifecycle;
 use pooler_routing::membership::WatchEvent;
-use pooler_service_registry::eureka::body::{Body, BodyError, Format};
-use pooler_service_registry::eureka::mapping::{Mapping, Networks, Refused};
-use pooler_service_registry::eureka::mirror::Mirror;
-use pooler_service_registry::eureka::model::{Instance, Status};
-use pooler_service_registry::eureka::poller::Ask;
-use pooler_service_registry::eureka::reading::{Read, Reading};
+use pooler_service_registry::eureka::body::{BodyError, BodyFormat, BodyScanner, SyntaxError};
+use pooler_service_registry::eureka::decoder::{BodyDecoder, BodySummary, DecodedBody};
+use pooler_service_registry::eureka::digest::RegistryDigest;
+use pooler_service_registry::eureka::instance::{Instance, InstanceStatus};
+use pooler_service_registry::eureka::mapping::{InstanceMapping, MappingError};
+use pooler_service_registry::eureka::networks::{NetworkMatch, Networks};
+use pooler_service_registry::eureka::poll_schedule::{FetchKind, Poll};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// Larger than all bodies of these tests.
+const MAX_BYTES: u64 = 8 << 20;
 const ONE: &str = r#"{"instanceId":"s-1","app":"DB","ipAddr":"10.1.0.4","hostName":"h","status":"UP",
  "overriddenstatus":"UNKNOWN","port":{"$":6543,"@enabled":"true"},"securePort":{"$":"443","@enabled":"false"},
  "leaseInfo":{"registrationTimestamp":17},"metadata":{"group":"2","role":"primary","note":"}]{[\" \\"},
@@ -37,215 +40,241 @@
     )
 }
 
-fn mapping() -> Mapping {
+fn mapping() -> InstanceMapping {
     let mut networks = Networks::default();
     networks.add("10.1.0.0/16".parse().unwrap(), Some("adum".into()));
-    Mapping {
+    InstanceMapping {
         apps: ["DB".to_owned()].into(),
         networks,
         group_key: "group".into(),
-        group: Some(7),
+        default_group: Some(7),
         zone_key: "zone".into(),
         role_key: "role".into(),
-        primary: "primary".into(),
+        primary_role: "primary".into(),
         started_key: "startedAtMs".into(),
-        ..Mapping::default()
+        ..InstanceMapping::default()
     }
 }
 
-fn read(format: Format, text: &[u8], cuts: &[usize]) -> Result<(Read, Mirror), BodyError> {
-    let (mapping, mut mirror) = (mapping(), Mirror::default());
-    let mut reading = Reading::new(&mapping, mirror.empty(), 0, Ask::Full, format, 8 << 20);
-    let mut from = 0;
-    for cut in cuts.iter().copied().chain([text.len()]) {
-        let to = cut.clamp(from, text.len());
-        reading.push(&text[from..to])?;
-        from = to;
+/// Decodes a snapshot that arrives in the parts between these offsets.
+fn decode(
+    format: BodyFormat,
+    text: &[u8],
+    splits: &[usize],
+) -> Result<(DecodedBody, RegistryDigest), BodyError> {
+    let (mapping, mut digest) = (mapping(), RegistryDigest::default());
+    let poll = Poll { server: 0, fetch: FetchKind::Snapshot };
+    let mut decoder = BodyDecoder::new(&mapping, &digest, poll, format, MAX_BYTES);
+    let mut start = 0;
+    for split in splits.iter().copied().chain([text.len()]) {
+        let end = split.clamp(start, text.len());
+        decoder.push(&text[start..end])?;
+        start = end;
     }
-    let read = reading.finish(&mut mirror)?;
-    Ok((read, mirror))
-}
-
-fn check(format: Format, text: &[u8], cuts: &[usize]) {
-    let (read, mirror) = read(format, text, cuts).unwrap();
-    assert_eq!(read.hash_code.as_deref(), Some("OUT_OF_SERVICE_1_UP_1_"));
-    assert_eq!(mirror.hash_code(), "OUT_OF_SERVICE_1_UP_1_");
-    let WatchEvent::Snapshot { claims, version: view } = read.news else { panic!("a whole list") };
-    assert_eq!((view, read.instances, read.refused), (2 * 1_767_225_600_200 + 1, 2, 0));
-    let one = &claims[0];
-    assert_eq!((&*one.endpoint.0, one.lifecycle, one.primary), ("s-1", Lifecycle::Active, true));
-    assert_eq!((one.address.unwrap().to_string(), one.group.unwrap().0), ("10.1.0.4:6543".to_owned(), 2));
-    assert_eq!((one.zone.as_str(), one.version.change_stamp), ("adum", 2 * 1_767_225_600_123 + 1));
+    let body = decoder.finish(&mut digest)?;
+    Ok((body, digest))
+}
+
+fn decode_json(text: &str) -> Result<DecodedBody, BodyError> {
+    decode(BodyFormat::Json, text.as_bytes(), &[]).map(|(body, _)| body)
+}
+
+fn summary(text: &str) -> BodySummary {
+    decode_json(text).unwrap().summary
+}
+
+/// Checks that the body with both instances is decoded completely.
+fn check(format: BodyFormat, text: &[u8], splits: &[usize]) {
+    let (DecodedBody { event, summary }, digest) = decode(format, text, splits).unwrap();
+    assert_eq!(summary.hash_code.as_deref(), Some("OUT_OF_SERVICE_1_UP_1_"));
+    assert_eq!(digest.hash_code(), "OUT_OF_SERVICE_1_UP_1_");
+    let WatchEvent::Snapshot { claims, version } = event else { panic!("a snapshot") };
+    assert_eq!((version, summary.instances, summary.rejected), (2 * 1_767_225_600_200 + 1, 2, 0));
+    let first = &claims[0];
+    assert_eq!((&*first.endpoint.0, first.lifecycle, first.primary), ("s-1", Lifecycle::Active, true));
+    assert_eq!((first.address.unwrap().to_string(), first.group.unwrap().0), ("10.1.0.4:6543".to_owned(), 2));
+    assert_eq!((first.zone.as_str(), first.version.change_stamp), ("adum", 2 * 1_767_225_600_123 + 1));
     assert_eq!((claims[1].lifecycle, claims[1].group.unwrap().0), (Lifecycle::Draining, 7));
 }
 
 #[test]
-fn a_body_reads_the_same_wherever_it_is_cut() {
+fn a_body_decodes_the_same_wherever_it_is_split() {
     let json = json();
-    for cut in 0..json.len() {
-        check(Format::Json, json.as_bytes(), &[cut]);
+    for split in 0..json.len() {
+        check(BodyFormat::Json, json.as_bytes(), &[split]);
     }
-    for cut in 0..XML.len() {
-        check(Format::Xml, XML.as_bytes(), &[cut]);
+    for split in 0..XML.len() {
+        check(BodyFormat::Xml, XML.as_bytes(), &[split]);
     }
     let each: Vec<usize> = (0..json.len()).collect();
-    check(Format::Json, json.as_bytes(), &each);
-    check(Format::Xml, XML.as_bytes(), &(0..XML.len()).collect::<Vec<_>>());
+    check(BodyFormat::Json, json.as_bytes(), &each);
+    check(BodyFormat::Xml, XML.as_bytes(), &(0..XML.len()).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_body_that_ends_early_counts_for_nothing() {
+fn a_truncated_body_is_an_error() {
     let json = json();
     for end in 0..json.len() {
-        assert!(read(Format::Json, &json.as_bytes()[..end], &[]).is_err(), "{end} bytes");
+        assert!(decode(BodyFormat::Json, &json.as_bytes()[..end], &[]).is_err(), "{end} bytes");
     }
     for end in 0..XML.trim_end().len() {
-        assert!(read(Format::Xml, &XML.as_bytes()[..end], &[]).is_err(), "{end} bytes");
+        assert!(decode(BodyFormat::Xml, &XML.as_bytes()[..end], &[]).is_err(), "{end} bytes");
     }
 }
 
 #[test]
-fn one_instance_may_be_an_object_and_applications_too() {
+fn single_instances_and_applications_may_be_plain_objects() {
     let body = format!(
         r#"{{"applications":{{"apps__hashcode":"UP_1_","application":{{"name":"DB","instance":{ONE}}}}}}}"#
     );
-    assert_eq!(read(Format::Json, body.as_bytes(), &[]).unwrap().0.instances, 1);
+    assert_eq!(summary(&body).instances, 1);
     let body = format!(r#"{{"application":{{"name":"DB","instance":[{ONE},{OTHER}]}}}}"#);
-    assert_eq!(read(Format::Json, body.as_bytes(), &[]).unwrap().0.instances, 2, "of one application");
-    assert_eq!(
-        read(Format::Json, format!(r#"{{"instance":{ONE}}}"#).as_bytes(), &[]).unwrap().0.instances,
-        1
-    );
+    assert_eq!(summary(&body).instances, 2, "of one application");
+    assert_eq!(summary(&format!(r#"{{"instance":{ONE}}}"#)).instances, 1);
 }
 
 #[test]
-fn what_is_no_list_is_told_apart_by_its_byte() {
-    let form = |format, text: &str| match read(format, text.as_bytes(), &[]) {
-        Err(BodyError::Form { at, what }) => (at, what),
+fn syntax_errors_name_their_offset() {
+    let syntax_error = |format, text: &str| match decode(format, text.as_bytes(), &[]) {
+        Err(BodyError::Syntax { offset, error }) => (offset, error),
         other => panic!("{text:?}: {other:?}"),
     };
-    assert_eq!(form(Format::Json, "<html>"), (0, "no JSON"));
-    assert_eq!(form(Format::Json, "{\"a\":1}}"), (7, "something behind the end"));
-    assert_eq!(form(Format::Json, "{\"a\":1]"), (6, "a bracket that closes nothing"));
-    assert_eq!(form(Format::Json, &"[".repeat(10_000)), (48, "nested too deeply"));
+    assert_eq!(syntax_error(BodyFormat::Json, "<html>"), (0, SyntaxError::NotJson));
+    assert_eq!(syntax_error(BodyFormat::Json, "{\"a\":1}}"), (7, SyntaxError::TrailingData));
+    assert_eq!(syntax_error(BodyFormat::Json, "{\"a\":1]"), (6, SyntaxError::UnmatchedBracket));
+    assert_eq!(syntax_error(BodyFormat::Json, &"[".repeat(10_000)), (48, SyntaxError::NestedTooDeeply));
+    assert_eq!(
+        syntax_error(BodyFormat::Json, &format!("{{\"instance\":{{\"a\":{}", "[".repeat(10_000))).1,
+        SyntaxError::NestedTooDeeply
+    );
+    assert_eq!(syntax_error(BodyFormat::Xml, "{}"), (0, SyntaxError::NotXml));
+    assert_eq!(syntax_error(BodyFormat::Xml, "<a></b>"), (6, SyntaxError::MismatchedEndTag));
     assert_eq!(
-        form(Format::Json, &format!("{{\"instance\":{{\"a\":{}", "[".repeat(10_000))).1,
-        "nested too deeply"
+        syntax_error(BodyFormat::Xml, "<!DOCTYPE a [<!ENTITY b \"c\">]>").1,
+        SyntaxError::DocumentType
     );
-    assert_eq!(form(Format::Xml, "{}"), (0, "no XML"));
-    assert_eq!(form(Format::Xml, "<a></b>"), (6, "a tag that closes another"));
-    assert_eq!(form(Format::Xml, "<!DOCTYPE a [<!ENTITY b \"c\">]>").1, "a document type, which is not read");
-    assert_eq!(form(Format::Xml, &"<a>".repeat(10_000)).1, "nested too deeply");
+    assert_eq!(syntax_error(BodyFormat::Xml, &"<a>".repeat(10_000)).1, SyntaxError::NestedTooDeeply);
     let long = format!("{{\"instance\":{{\"a\":\"{}", "x".repeat(300_000));
-    assert_eq!(form(Format::Json, &long).1, "an instance that is too long");
-    let mut body = Body::new(Format::Json, 100);
-    assert_eq!(body.push(&[b' '; 101], &mut |_| Ok(())), Err(BodyError::Large(100)));
+    assert_eq!(syntax_error(BodyFormat::Json, &long).1, SyntaxError::InstanceTooLong);
+    let error = BodyError::Syntax { offset: 7, error: SyntaxError::TrailingData };
+    assert_eq!(error.to_string(), "byte 7: something behind the end");
+    let mut scanner = BodyScanner::new(BodyFormat::Json, 100);
+    let pushed = scanner.push(&[b' '; 101], &mut |_| Ok(()));
+    assert!(matches!(pushed, Err(BodyError::TooLarge { max_bytes: 100 })), "{pushed:?}");
 }
 
 #[test]
-fn a_body_of_very_many_very_small_instances_is_given_up() {
+fn the_number_of_instances_is_bounded() {
     let many = "{\"instanceId\":\"1\"},".repeat(50_001);
     let body = format!("{{\"instance\":[{}]}}", many.trim_end_matches(','));
-    match read(Format::Json, body.as_bytes(), &[]) {
-        Err(BodyError::Piece(words)) => assert_eq!(words, "more than 50000 instances"),
+    match decode_json(&body) {
+        Err(error @ BodyError::TooManyInstances { max_instances: 50_000 }) => {
+            assert_eq!(error.to_string(), "more than 50000 instances");
+        }
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_delta_is_added_to_what_was_there_only_at_its_end() {
-    let (mapping, mut mirror) = (mapping(), Mirror::default());
-    let mut take = |ask, text: &str, end: bool| {
-        let mut reading = Reading::new(&mapping, mirror.empty(), 0, ask, Format::Json, 1 << 20);
-        reading.push(text.as_bytes()).unwrap();
-        if end {
-            reading.finish(&mut mirror).unwrap();
+fn a_delta_is_applied_to_the_digest_only_at_its_end() {
+    let (mapping, mut digest) = (mapping(), RegistryDigest::default());
+    let mut hash_code_after = |fetch, text: &str, is_complete: bool| {
+        let poll = Poll { server: 0, fetch };
+        let mut decoder = BodyDecoder::new(&mapping, &digest, poll, BodyFormat::Json, MAX_BYTES);
+        decoder.push(text.as_bytes()).unwrap();
+        if is_complete {
+            decoder.finish(&mut digest).unwrap();
         }
-        mirror.hash_code()
+        digest.hash_code()
     };
-    assert_eq!(take(Ask::Full, &json(), true), "OUT_OF_SERVICE_1_UP_1_");
-    let gone = ONE.replace("ADDED", "DELETED");
+    assert_eq!(hash_code_after(FetchKind::Snapshot, &json(), true), "OUT_OF_SERVICE_1_UP_1_");
+    let deleted = ONE.replace("ADDED", "DELETED");
     let other = OTHER.replace("OUT_OF_SERVICE", "UP").replace("\"db\"", "\"DB\"");
-    let delta = format!("{{\"application\":{{\"instance\":[{gone},{other}]}}}}");
-    assert_eq!(take(Ask::Delta, &delta[..delta.len() - 3], false), "OUT_OF_SERVICE_1_UP_1_");
-    assert_eq!(take(Ask::Delta, &delta, true), "UP_1_", "one left, the other is the same box");
-    assert_eq!(take(Ask::Delta, &delta, true), "UP_1_", "and twice changes nothing");
+    let delta = format!("{{\"application\":{{\"instance\":[{deleted},{other}]}}}}");
+    assert_eq!(hash_code_after(FetchKind::Delta, &delta[..delta.len() - 3], false), "OUT_OF_SERVICE_1_UP_1_");
+    assert_eq!(
+        hash_code_after(FetchKind::Delta, &delta, true),
+        "UP_1_",
+        "one was deleted, the other replaced"
+    );
+    assert_eq!(hash_code_after(FetchKind::Delta, &delta, true), "UP_1_", "and twice changes nothing");
 }
 
 #[test]
-fn one_unreadable_instance_spoils_itself_and_what_is_missing() {
+fn an_unreadable_instance_is_skipped_and_nothing_counts_as_missing() {
     let bad = ONE.replace("1767225600123", "soon").replace("s-1", "s-9");
     let body = format!(r#"{{"applications":{{"application":{{"instance":[{bad},{OTHER}]}}}}}}"#);
-    let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
-    assert_eq!((read.instances, read.unreadable), (2, 1));
-    assert_eq!(read.named, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
-    // Nobody counts as missing from it: the one that could not be read may be anybody.
-    assert!(matches!(read.news, WatchEvent::Snapshot { claims, version: i64::MIN } if claims.len() == 1));
+    let DecodedBody { event, summary } = decode_json(&body).unwrap();
+    assert_eq!((summary.instances, summary.unreadable), (2, 1));
+    let problems: Vec<String> = summary.problems.iter().map(ToString::to_string).collect();
+    assert_eq!(problems, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
+    // No endpoint counts as missing from it: the one that could not be decoded may be any of them.
+    assert!(matches!(event, WatchEvent::Snapshot { claims, version: i64::MIN } if claims.len() == 1));
 }
 
 #[test]
-fn who_lies_elsewhere_is_named_but_gets_nothing() {
+fn an_instance_outside_the_networks_drains_without_an_address() {
     let outside = ONE.replace("10.1.0.4", "10.2.0.4");
     let body = format!(r#"{{"application":{{"instance":[{outside}]}}}}"#);
-    let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
-    assert_eq!((read.refused, read.outside), (1, 1));
-    let WatchEvent::Snapshot { claims, .. } = read.news else { panic!("a whole list") };
+    let DecodedBody { event, summary } = decode_json(&body).unwrap();
+    assert_eq!((summary.rejected, summary.outside_networks), (1, 1));
+    let WatchEvent::Snapshot { claims, .. } = event else { panic!("a snapshot") };
     assert_eq!((claims[0].lifecycle, claims[0].address), (Lifecycle::Draining, None));
     let instance = |text: &str| Instance::from_json(text.as_bytes()).unwrap();
-    let refused = |text: &str| mapping().claim(&instance(text), 0).unwrap_err();
-    assert_eq!(refused(&ONE.replace("\"DB\"", "\"WEB\"")), Refused::NotOurs);
+    let error_of = |text: &str| mapping().claim(&instance(text), 0).unwrap_err();
+    assert_eq!(error_of(&ONE.replace("\"DB\"", "\"WEB\"")), MappingError::OtherApplication);
     assert_eq!(
-        refused(&ONE.replace("10.1.0.4", "box.example")),
-        Refused::Address("box.example:Some(6543)".into())
+        error_of(&ONE.replace("10.1.0.4", "box.example")),
+        MappingError::InvalidAddress { address: "box.example".into(), port: Some(6543) }
     );
-    assert_eq!(refused(&ONE.replace("\"2\"", "\"two\"")), Refused::Group("two".into()));
+    assert_eq!(error_of(&ONE.replace("\"2\"", "\"two\"")), MappingError::InvalidGroup("two".into()));
     assert_eq!(
-        refused(&ONE.replace("\"$\":6543,\"@enabled\":\"true\"", "\"$\":6543,\"@enabled\":\"false\"")),
-        Refused::Address("10.1.0.4:None".into())
+        error_of(&ONE.replace("\"$\":6543,\"@enabled\":\"true\"", "\"$\":6543,\"@enabled\":\"false\"")),
+        MappingError::InvalidAddress { address: "10.1.0.4".into(), port: None }
     );
     assert_eq!(
-        refused(&ONE.replace("10.1.0.4", "::ffff:10.2.0.4")),
-        Refused::Outside("10.2.0.4".parse().unwrap())
+        error_of(&ONE.replace("10.1.0.4", "::ffff:10.2.0.4")),
+        MappingError::OutsideNetworks("10.2.0.4".parse().unwrap())
     );
 }
 
 #[test]
-fn a_registration_that_starts_comes_before_the_same_in_service() {
+fn a_starting_registration_is_older_than_the_same_one_in_service() {
     let stamp = |status: &str| {
         let instance =
             Instance::from_json(ONE.replace("\"UP\"", &format!("\"{status}\"")).as_bytes()).unwrap();
         mapping().claim(&instance, 0).unwrap().version.change_stamp
     };
     assert!(stamp("STARTING") < stamp("UP") && stamp("UP") == stamp("DOWN"));
-    assert_eq!(Status::named("whatever"), Status::Unknown);
+    assert_eq!(InstanceStatus::from_name("whatever"), InstanceStatus::Unknown);
 }
 
 #[test]
-fn the_smallest_network_names_the_zone() {
+fn the_longest_prefix_determines_the_zone() {
     let mut networks = Networks::default();
     assert!(networks.add("10.0.0.0/8".parse().unwrap(), None));
     assert!(networks.add("10.1.0.0/16".parse().unwrap(), Some("adum".into())));
     assert!(!networks.add("10.1.0.0/16".parse().unwrap(), None), "twice");
     assert!(networks.add("fd00::/8".parse().unwrap(), Some("suame".into())));
-    let zone = |text: &str| networks.zone(text.parse().unwrap());
-    assert_eq!(zone("10.1.2.3"), Some(Some("adum".into())));
-    assert_eq!(zone("10.2.2.3"), Some(None));
-    assert_eq!(zone("fd00::1"), Some(Some("suame".into())));
-    assert_eq!((zone("11.0.0.1"), zone("fe80::1")), (None, None));
+    let find = |text: &str| networks.find(text.parse().unwrap());
+    assert_eq!(find("10.1.2.3"), Some(NetworkMatch { zone: Some("adum".into()) }));
+    assert_eq!(find("10.2.2.3"), Some(NetworkMatch { zone: None }));
+    assert_eq!(find("fd00::1"), Some(NetworkMatch { zone: Some("suame".into()) }));
+    assert_eq!((find("11.0.0.1"), find("fe80::1")), (None, None));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_it_panic(at in 0..1_400_usize, junk in prop::collection::vec(any::<u8>(), 0..6), xml in any::<bool>(), cut in 0..1_400_usize) {
-        let (format, text) = if xml { (Format::Xml, XML.to_owned()) } else { (Format::Json, json()) };
+    fn arbitrary_bytes_never_panic(at in 0..1_400_usize, junk in prop::collection::vec(any::<u8>(), 0..6), xml in any::<bool>(), split in 0..1_400_usize) {
+        let (format, text) = if xml { (BodyFormat::Xml, XML.to_owned()) } else { (BodyFormat::Json, json()) };
         let mut bytes = text.into_bytes();
         let at = at.min(bytes.len());
         bytes.splice(at..(at + junk.len() / 2).min(bytes.len()), junk);
-        let whole = read(format, &bytes, &[]).map(|(read, _)| read.instances);
-        let parts = read(format, &bytes, &[cut]).map(|(read, _)| read.instances);
-        prop_assert_eq!(whole.is_ok(), parts.is_ok(), "the same however it is cut");
-        prop_assert_eq!(whole.ok(), parts.ok());
+        let in_one = decode(format, &bytes, &[]).map(|(body, _)| body.summary.instances);
+        let in_two = decode(format, &bytes, &[split]).map(|(body, _)| body.summary.instances);
+        prop_assert_eq!(in_one.is_ok(), in_two.is_ok(), "the same however it is split");
+        prop_assert_eq!(in_one.ok(), in_two.ok());
     }
 }
--- a/crates/service-registry/tests/timing.rs
+++ b/crates/service-registry/tests/timing.rs
@@ -1,9 +1,11 @@
-//! When to ask, and when to tell, on a clock that the tests hold.
+//! The schedules of polls and of the pooler's own lease, on a clock that the tests control.
 
 use pooler_routing::{TimeDelta, Timestamp};
-use pooler_service_registry::eureka::lease::{Act, Came, Lease};
-use pooler_service_registry::eureka::model::Status;
-use pooler_service_registry::eureka::poller::{Ask, Failure, Pace, Poller};
+use pooler_service_registry::eureka::instance::InstanceStatus;
+use pooler_service_registry::eureka::lease::{LeaseRequest, LeaseResponse, RegistrationLease};
+use pooler_service_registry::eureka::poll_schedule::{
+    FetchKind, Poll, PollFailure, PollSchedule, PollSettings,
+};
 
 const START: Timestamp = Timestamp(1_767_225_600_000_000);
 
@@ -11,126 +13,157 @@
     START + TimeDelta::from_millis(ms)
 }
 
-fn poller(servers: usize) -> Poller {
-    let pace = Pace {
+fn new_schedule(servers: usize) -> PollSchedule {
+    let settings = PollSettings {
         interval: TimeDelta::from_millis(1_000),
-        longest_pause: TimeDelta::from_millis(8_000),
-        deltas: true,
+        max_backoff: TimeDelta::from_millis(8_000),
+        use_deltas: true,
     };
-    Poller::new(servers, pace, 7, START)
+    PollSchedule::new(servers, settings, 7, START)
 }
 
-fn wait(poller: &Poller, since: Timestamp) -> i64 {
-    (poller.due() - since).0 / 1_000
+/// The delay until the next poll in ms.
+fn delay_ms(schedule: &PollSchedule, since: Timestamp) -> i64 {
+    (schedule.next_poll_at() - since).0 / 1_000
+}
+
+fn status_failure(status: u16, retry_after: Option<TimeDelta>) -> PollFailure {
+    PollFailure::Status { status, retry_after }
 }
 
 #[test]
-fn a_whole_list_comes_first_and_deltas_after_it() {
-    let mut poller = poller(1);
-    assert_eq!((poller.due(), poller.ask(START)), (START, (0, Ask::Full)));
-    poller.answered(START, Ask::Full, true);
-    assert!((900..=1_100).contains(&wait(&poller, START)));
-    assert_eq!(poller.ask(at(1_100)), (0, Ask::Delta));
-    // What does not add up is asked for in full at once, the next time later and later.
-    poller.answered(at(1_100), Ask::Delta, false);
-    assert_eq!((poller.due(), poller.ask(at(1_100)).1), (at(1_100), Ask::Full));
-    poller.answered(at(1_100), Ask::Full, false);
+fn a_snapshot_comes_first_and_deltas_follow() {
+    let mut schedule = new_schedule(1);
+    assert_eq!(
+        (schedule.next_poll_at(), schedule.next_poll(START)),
+        (START, Poll { server: 0, fetch: FetchKind::Snapshot })
+    );
+    schedule.record_success(START, FetchKind::Snapshot, true);
+    assert!((900..=1_100).contains(&delay_ms(&schedule, START)));
+    assert_eq!(schedule.next_poll(at(1_100)), Poll { server: 0, fetch: FetchKind::Delta });
+    // After an inconsistent delta a snapshot is due at once, the next time later and later.
+    schedule.record_success(at(1_100), FetchKind::Delta, false);
+    assert_eq!(
+        (schedule.next_poll_at(), schedule.next_poll(at(1_100)).fetch),
+        (at(1_100), FetchKind::Snapshot)
+    );
+    schedule.record_success(at(1_100), FetchKind::Snapshot, false);
     let mut now = at(2_300);
-    let mut fulls = 0;
+    let mut snapshots = 0;
     for _ in 0..64 {
-        let ask = poller.ask(now).1;
-        fulls += u32::from(ask == Ask::Full);
-        poller.answered(now, ask, false);
-        now = poller.due().max(now);
+        let fetch = schedule.next_poll(now).fetch;
+        snapshots += u32::from(fetch == FetchKind::Snapshot);
+        schedule.record_success(now, fetch, false);
+        now = schedule.next_poll_at().max(now);
     }
-    assert!((2..=12).contains(&fulls), "{fulls} whole lists of 64 answers from a registry that never agrees");
+    assert!(
+        (2..=12).contains(&snapshots),
+        "{snapshots} snapshots in 64 polls of a registry whose hash code never matches"
+    );
 }
 
 #[test]
-fn another_server_is_asked_at_once_and_all_of_them_less_and_less_often() {
-    let mut poller = poller(3);
+fn a_failure_switches_servers_and_a_failed_round_backs_off() {
+    let mut schedule = new_schedule(3);
     let mut now = START;
-    let mut waits = Vec::new();
-    for turn in 0..15 {
-        let (server, ask) = poller.ask(now);
-        assert_eq!((server, ask), (turn % 3, Ask::Full));
-        poller.failed(now, ask, Failure::Broken);
-        waits.push(wait(&poller, now));
-        now = poller.due();
+    let mut delays = Vec::new();
+    for attempt in 0..15 {
+        let Poll { server, fetch } = schedule.next_poll(now);
+        assert_eq!((server, fetch), (attempt % 3, FetchKind::Snapshot));
+        schedule.record_failure(now, fetch, PollFailure::Unusable);
+        delays.push(delay_ms(&schedule, now));
+        now = schedule.next_poll_at();
     }
-    for (turn, wait) in waits.iter().enumerate() {
-        let round = turn as u32 / 3;
-        let pause = if turn % 3 == 2 { (500 << round).min(8_000) } else { 20 };
-        assert!((pause * 3 / 4 - 1..=pause * 5 / 4 + 1).contains(wait), "turn {turn}: {wait} for {pause}");
+    for (attempt, delay) in delays.iter().enumerate() {
+        let round = attempt as u32 / 3;
+        let backoff = if attempt % 3 == 2 { (500 << round).min(8_000) } else { 20 };
+        assert!(
+            (backoff * 3 / 4 - 1..=backoff * 5 / 4 + 1).contains(delay),
+            "attempt {attempt}: {delay} for {backoff}"
+        );
     }
-    poller.answered(now, Ask::Full, true);
-    assert!(wait(&poller, now) <= 1_100, "it is well again");
+    schedule.record_success(now, FetchKind::Snapshot, true);
+    assert!(delay_ms(&schedule, now) <= 1_100, "the backoff ends with the first success");
 }
 
 #[test]
-fn who_asks_to_be_left_alone_is_and_not_for_ever() {
-    let mut poller = poller(2);
-    poller.failed(START, Ask::Full, Failure::Status(429, Some(TimeDelta::from_millis(60_000))));
-    assert_eq!(poller.ask(at(20)).0, 1);
-    poller.failed(at(20), Ask::Full, Failure::Broken);
-    assert_eq!(poller.ask(at(2_000)).0, 1, "the first still rests");
-    let mut alone = self::poller(1);
-    alone.failed(START, Ask::Full, Failure::Status(503, Some(TimeDelta::from_millis(86_400_000))));
-    assert_eq!(wait(&alone, START), 300_000, "five minutes at most");
-    alone.failed(START, Ask::Full, Failure::Status(503, Some(TimeDelta(-5))));
-    assert!(wait(&alone, START) <= 1_300, "nobody comes back in the past");
+fn retry_after_is_respected_up_to_a_limit() {
+    let mut schedule = new_schedule(2);
+    schedule.record_failure(
+        START,
+        FetchKind::Snapshot,
+        status_failure(429, Some(TimeDelta::from_millis(60_000))),
+    );
+    assert_eq!(schedule.next_poll(at(20)).server, 1);
+    schedule.record_failure(at(20), FetchKind::Snapshot, PollFailure::Unusable);
+    assert_eq!(schedule.next_poll(at(2_000)).server, 1, "the first server must not be polled yet");
+    let mut single = new_schedule(1);
+    single.record_failure(
+        START,
+        FetchKind::Snapshot,
+        status_failure(503, Some(TimeDelta::from_millis(86_400_000))),
+    );
+    assert_eq!(delay_ms(&single, START), 300_000, "five minutes at most");
+    single.record_failure(START, FetchKind::Snapshot, status_failure(503, Some(TimeDelta(-5))));
+    assert!(delay_ms(&single, START) <= 1_300, "a negative delay counts as none");
 }
 
 #[test]
-fn a_server_without_deltas_is_asked_for_all_and_is_no_failure() {
-    let mut poller = poller(2);
-    poller.answered(START, Ask::Full, true);
-    poller.failed(at(1_000), Ask::Delta, Failure::Status(404, None));
-    assert_eq!((poller.failures(), poller.ask(at(1_000))), (0, (0, Ask::Full)));
-    poller.answered(at(1_000), Ask::Full, true);
-    assert_eq!(poller.ask(at(3_000)), (0, Ask::Full));
+fn a_server_without_deltas_is_polled_for_snapshots_and_is_no_failure() {
+    let mut schedule = new_schedule(2);
+    schedule.record_success(START, FetchKind::Snapshot, true);
+    schedule.record_failure(at(1_000), FetchKind::Delta, status_failure(404, None));
+    assert_eq!(
+        (schedule.consecutive_failures(), schedule.next_poll(at(1_000))),
+        (0, Poll { server: 0, fetch: FetchKind::Snapshot })
+    );
+    schedule.record_success(at(1_000), FetchKind::Snapshot, true);
+    assert_eq!(schedule.next_poll(at(3_000)), Poll { server: 0, fetch: FetchKind::Snapshot });
 }
 
 #[test]
-fn the_life_of_a_registration() {
-    let mut lease = Lease::new(TimeDelta::from_millis(30_000), START);
-    let first = lease.dirty_ms();
-    assert_eq!(lease.act(START), Some(Act::Register(Status::Starting)));
-    lease.done(START, Act::Register(Status::Starting), Came::Taken);
-    lease.want(at(100), Some(Status::Up));
-    assert_eq!(lease.act(at(100)), Some(Act::Register(Status::Up)));
-    assert!(lease.dirty_ms() > first, "a change has a later stamp");
-    lease.done(at(100), Act::Register(Status::Up), Came::Taken);
-    assert_eq!((lease.act(at(30_099)), lease.act(at(30_100))), (None, Some(Act::Renew(Status::Up))));
-    // The registry has forgotten it: it registers anew, with a later stamp.
-    let before = lease.dirty_ms();
-    lease.done(at(30_100), Act::Renew(Status::Up), Came::Unknown);
-    assert_eq!(lease.act(at(30_100)), Some(Act::Register(Status::Up)));
-    assert!(lease.dirty_ms() > before);
-    // It fails over and over: later and later, but a drain is told at once.
+fn a_lease_is_registered_renewed_lost_retried_and_cancelled() {
+    let mut lease = RegistrationLease::new(TimeDelta::from_millis(30_000), START);
+    let first = lease.last_dirty_ms();
+    assert_eq!(lease.due_request(START), Some(LeaseRequest::Register(InstanceStatus::Starting)));
+    lease.record_response(START, LeaseRequest::Register(InstanceStatus::Starting), LeaseResponse::Accepted);
+    lease.set_status(at(100), Some(InstanceStatus::Up));
+    assert_eq!(lease.due_request(at(100)), Some(LeaseRequest::Register(InstanceStatus::Up)));
+    assert!(lease.last_dirty_ms() > first, "a change has a later stamp");
+    lease.record_response(at(100), LeaseRequest::Register(InstanceStatus::Up), LeaseResponse::Accepted);
+    assert_eq!(
+        (lease.due_request(at(30_099)), lease.due_request(at(30_100))),
+        (None, Some(LeaseRequest::Renew(InstanceStatus::Up)))
+    );
+    // The registry has lost it: it registers anew, with a later stamp.
+    let before = lease.last_dirty_ms();
+    lease.record_response(at(30_100), LeaseRequest::Renew(InstanceStatus::Up), LeaseResponse::NotRegistered);
+    assert_eq!(lease.due_request(at(30_100)), Some(LeaseRequest::Register(InstanceStatus::Up)));
+    assert!(lease.last_dirty_ms() > before);
+    // While requests fail, retries back off, but a drain is announced at once.
     let mut now = at(30_100);
-    for wait in [1_000, 2_000, 4_000, 8_000, 16_000, 30_000, 30_000] {
-        lease.done(now, Act::Register(Status::Up), Came::Nothing);
-        assert_eq!(lease.due(), Some(now + TimeDelta::from_millis(wait)));
-        now = now + TimeDelta::from_millis(wait);
+    for delay in [1_000, 2_000, 4_000, 8_000, 16_000, 30_000, 30_000] {
+        lease.record_response(now, LeaseRequest::Register(InstanceStatus::Up), LeaseResponse::Failed);
+        assert_eq!(lease.next_request_at(), Some(now + TimeDelta::from_millis(delay)));
+        now = now + TimeDelta::from_millis(delay);
     }
-    lease.want(now, Some(Status::OutOfService));
-    assert_eq!(lease.act(now), Some(Act::Register(Status::OutOfService)));
-    lease.done(now, Act::Register(Status::OutOfService), Came::Taken);
-    lease.want(now, None);
-    assert_eq!(lease.act(now), Some(Act::Cancel));
-    lease.done(now, Act::Cancel, Came::Unknown);
-    assert_eq!((lease.act(now), lease.due()), (None, None), "nothing more to tell");
+    lease.set_status(now, Some(InstanceStatus::OutOfService));
+    assert_eq!(lease.due_request(now), Some(LeaseRequest::Register(InstanceStatus::OutOfService)));
+    lease.record_response(now, LeaseRequest::Register(InstanceStatus::OutOfService), LeaseResponse::Accepted);
+    lease.set_status(now, None);
+    assert_eq!(lease.due_request(now), Some(LeaseRequest::Cancel));
+    lease.record_response(now, LeaseRequest::Cancel, LeaseResponse::NotRegistered);
+    assert_eq!((lease.due_request(now), lease.next_request_at()), (None, None), "no further request is due");
 }
 
 #[test]
-fn who_never_registered_has_nothing_to_take_back() {
-    let mut lease = Lease::new(TimeDelta::from_millis(30_000), START);
-    lease.want(START, None);
-    assert_eq!((lease.act(START), lease.due()), (None, None));
-    // A clock that stands still still makes later stamps.
-    let mut lease = Lease::new(TimeDelta::from_millis(30_000), START);
-    let before = lease.dirty_ms();
-    lease.want(START, Some(Status::Up));
-    assert!(lease.dirty_ms() > before);
+fn a_lease_that_was_never_registered_needs_no_cancellation() {
+    let mut lease = RegistrationLease::new(TimeDelta::from_millis(30_000), START);
+    lease.set_status(START, None);
+    assert_eq!((lease.due_request(START), lease.next_request_at()), (None, None));
+    // Stamps advance even if the clock does not.
+    let mut lease = RegistrationLease::new(TimeDelta::from_millis(30_000), START);
+    let before = lease.last_dirty_ms();
+    lease.set_status(START, Some(InstanceStatus::Up));
+    assert!(lease.last_dirty_ms() > before);
 }
