--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -81,8 +81,8 @@
 pub struct ResponseMetadata {
     /// The role; `None` if the metadata is unreadable.
     pub role: Option<Role>,
-    /// The log position up to which the endpoint has applied, or for a write the position of its commit; `None` where
-    /// the response has none.
+    /// The log position up to which the endpoint has applied, or for a write the position of its commit;
+    /// `None` where the response has none.
     pub position: Option<Timestamp>,
 }
 
--- a/crates/routing/src/identifiers.rs
+++ b/crates/routing/src/identifiers.rs
@@ -2,7 +2,8 @@
 
 use std::sync::Arc;
 
-/// The identifier of an endpoint, as its discovery entry names it. Identifiers are ordered, and carry no other meaning.
+/// The identifier of an endpoint, as its discovery entry names it. Identifiers are ordered, and carry no
+/// other meaning.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub Arc<str>);
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,12 @@
 //! The routing decisions of the pooler, which routes reads and writes over replicated databases.
 //!
-//! [`Router`] is a pure state machine: the host reports [`Event`]s with the time at which they happened, and carries
-//! out the [`Action`]s that the router appends. [`membership`] resolves who the endpoints are from what several
-//! sources say. Nothing here performs I/O, reads a clock or starts a thread; the same events and seed give the same
-//! actions.
+//! [`Router`] is a pure state machine: the host reports [`Event`]s with the time at which they happened, and
+//! carries out the [`Action`]s that the router appends. [`membership`] resolves who the endpoints are from
+//! what several sources say. Nothing here performs I/O, reads a clock or starts a thread; the same events and
+//! seed give the same actions.
 //!
-//! The hosts are the packages `pooler-proxy`, on real sockets, and `simulator-adapter`; both decode [`settings`] with
-//! the same code. The README has an example, which is tested with the documentation.
+//! The hosts are the packages `pooler-proxy`, on real sockets, and `simulator-adapter`; both decode
+//! [`settings`] with the same code. The README has an example, which is tested with the documentation.
 
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
@@ -19,7 +19,6 @@
 pub mod primary_search;
 mod router;
 pub mod settings;
-mod state;
 mod time;
 
 pub use action::Action;
--- a/crates/routing/src/primary_search.rs
+++ b/crates/routing/src/primary_search.rs
@@ -1,20 +1,20 @@
 //! The search for a replication group's new primary: which endpoints to health-check, and how often.
 //!
-//! It performs no I/O, reads no clock and draws no random numbers. The router calls it while a group has no known
-//! primary, and still chooses, retries and rejects by itself.
+//! It performs no I/O, reads no clock and draws no random numbers. The router calls it while a group has no
+//! known primary, and still chooses, retries and rejects by itself.
 //!
-//! While a group has no primary, the log positions of its endpoints stand still, and the replica with the most complete
-//! log is promoted. So the search alternates between two patterns. In a *round*, all endpoints are checked, which shows
-//! their positions. Between rounds, only the *promotion candidates* are checked, those whose position no other endpoint
-//! exceeds. This finds a new primary within about one interval of its promotion, for fewer health checks than rounds
-//! alone. The search only decides what to check: an endpoint that reports being the primary is believed even if it was
-//! no promotion candidate.
+//! While a group has no primary, the log positions of its endpoints stand still, and the replica with the
+//! most complete log is promoted. So the search alternates between two patterns. In a *round*, all endpoints
+//! are checked, which shows their positions. Between rounds, only the *promotion candidates* are checked,
+//! those whose position no other endpoint exceeds. This finds a new primary within about one interval of its
+//! promotion, for fewer health checks than rounds alone. The search only decides what to check: an endpoint
+//! that reports being the primary is believed even if it was no promotion candidate.
 
 use crate::{EndpointId, TimeDelta, Timestamp};
 
-/// The health checks per second that a search may cost an endpoint, over all routers, while there are no more routers
-/// than this. At the highest measured cost of a health check, 0.39 ms of processor time, and with four cores, it is
-/// under 1% of an endpoint's capacity. More routers check once a second each.
+/// The health checks per second that a search may cost an endpoint, over all routers, while there are no more
+/// routers than this. At the highest measured cost of a health check, 0.39 ms of processor time, and with
+/// four cores, it is under 1% of an endpoint's capacity. More routers check once a second each.
 const MAX_HEALTH_CHECKS_PER_SECOND: f64 = 100.0;
 /// The shortest interval between two checks of one endpoint; load reports are refreshed no more often.
 const MIN_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
@@ -73,8 +73,8 @@
         TimeDelta(interval as i64).max(MIN_INTERVAL).min(MAX_INTERVAL)
     }
 
-    /// Continues the search and returns the endpoints to health-check now. Calls closer together than 10 ms gain
-    /// nothing.
+    /// Continues the search and returns the endpoints to health-check now. Calls closer together than 10 ms
+    /// gain nothing.
     pub fn next_health_checks(
         &mut self,
         now: Timestamp,
--- /dev/null
+++ b/crates/routing/src/router/cluster_view.rs
@@ -0,0 +1,118 @@
+//! What can be said of the endpoints at one moment where that takes several parts together. Nothing is
+//! changed here.
+
+use super::demand::Demand;
+use super::endpoints::{Endpoint, Endpoints};
+use super::fleet_clock::FleetClock;
+use super::freshness::required_position;
+use super::latency::LatencyEstimates;
+use super::overload::{OverloadRatios, SEVERE_OVERLOAD};
+use super::requests::PendingRequest;
+use super::slow_start::Throughput;
+use crate::{GroupId, Operation, RequestClass, Role, Settings, Timestamp};
+
+/// The parts of a router, to read, at one moment.
+#[derive(Clone, Copy)]
+pub(super) struct ClusterView<'a> {
+    pub(super) now: Timestamp,
+    pub(super) settings: &'a Settings,
+    pub(super) clock: &'a FleetClock,
+    pub(super) endpoints: &'a Endpoints,
+    pub(super) latency: &'a LatencyEstimates,
+    pub(super) demand: &'a Demand,
+    pub(super) overload: &'a OverloadRatios,
+    pub(super) throughput: &'a Throughput,
+    /// The router itself stalled until just now, so that what became overdue meanwhile proves nothing.
+    pub(super) has_stalled: bool,
+}
+
+impl<'a> ClusterView<'a> {
+    /// The class of a request.
+    pub(super) fn class_of(&self, request: &PendingRequest) -> &'a RequestClass {
+        &self.settings.classes[request.class().0]
+    }
+
+    /// What a request does.
+    pub(super) fn operation_of(&self, request: &PendingRequest) -> Operation {
+        self.class_of(request).operation
+    }
+
+    /// The log position that an endpoint must have applied to serve a request.
+    pub(super) fn required_position(&self, request: &PendingRequest) -> Option<Timestamp> {
+        required_position(self.operation_of(request), request, self.now, self.clock)
+    }
+
+    /// The overload ratio of a group's endpoints of this role.
+    pub(super) fn overload_ratio(&self, group: GroupId, role: Role) -> f64 {
+        let fleet_ratio = self.overload.fleet_ratio(self.now, role);
+        match self.endpoints.group(group) {
+            Some(group) => group.overload.group_ratio(self.now, role, fleet_ratio),
+            None => fleet_ratio,
+        }
+    }
+
+    /// Whether an endpoint may be sent anything new, as the endpoint list has it.
+    pub(super) fn accepts_new_work(&self, endpoint: &Endpoint) -> bool {
+        endpoint.accepts_new_work(self.settings.soft_removal)
+    }
+
+    /// Whether a replica's data is current enough for a read that requires this position.
+    pub(super) fn may_serve(&self, endpoint: &Endpoint, required_position: Option<Timestamp>) -> bool {
+        endpoint.freshness.may_serve(self.now, required_position, self.settings.stale_read_policy)
+    }
+
+    /// The number of attempts that an endpoint works on for this router.
+    pub(super) fn work_of(&self, endpoint: &Endpoint) -> f64 {
+        endpoint.work.total(self.now, self.latency)
+    }
+
+    fn live_attempts_of(&self, endpoint: &Endpoint) -> f64 {
+        endpoint.work.live(self.now, self.latency)
+    }
+
+    /// The load of an endpoint: its work, which counts for more if it is slow or fails.
+    pub(super) fn load_of(&self, endpoint: &Endpoint) -> f64 {
+        let work = endpoint.work.weighted(self.now, self.latency);
+        work * endpoint.slowness.factor(self.now) * endpoint.failures.load_factor()
+    }
+
+    /// Whether an endpoint seems to be down: it is ejected, or silent, or it was ejected and one attempt
+    /// tries it again.
+    pub(super) fn is_suspect(&self, endpoint: &Endpoint) -> bool {
+        endpoint.failures.is_ejected(self.now)
+            || (endpoint.failures.is_on_probation() && self.live_attempts_of(endpoint) > 0.0)
+            || (!self.has_stalled && endpoint.work.is_silent(self.now, self.latency))
+    }
+
+    /// Whether an endpoint may be sent one more attempt by its concurrency limit and its warm-up.
+    pub(super) fn has_room(&self, endpoint: &Endpoint) -> bool {
+        let is_warming = endpoint.warm_up.fraction(self.now, self.settings) < 1.0;
+        let lacks_token = is_warming && self.slow_start_tokens(endpoint) < 1.0;
+        endpoint.concurrency.has_room(self.now, self.work_of(endpoint)) && !lacks_token
+    }
+
+    /// The slow-start tokens of an endpoint.
+    pub(super) fn slow_start_tokens(&self, endpoint: &Endpoint) -> f64 {
+        let is_overloaded = self.overload.fleet_ratio(self.now, Role::Replica) > SEVERE_OVERLOAD;
+        let in_service = self.endpoints.active_count();
+        let capacity = self.throughput.capacity_per_endpoint(self.now, in_service, is_overloaded);
+        endpoint.warm_up.tokens(self.now, capacity, self.settings)
+    }
+
+    /// The believed primary of a group, if it was last shown as primary and does not seem to be down.
+    pub(super) fn shown_primary(&self, group: GroupId) -> Option<&'a Endpoint> {
+        let endpoint = self.endpoints.believed_primary(group)?;
+        let is_shown = endpoint.role() == Role::Primary && self.accepts_new_work(endpoint);
+        (is_shown && !self.is_suspect(endpoint)).then_some(endpoint)
+    }
+
+    /// A believed primary that went silent and has no attempt in flight that is not lost. A read that needs
+    /// the primary may try it, one at a time: if only some connections are silent, nothing else shows it
+    /// before they end.
+    pub(super) fn primary_to_probe(&self, group: GroupId) -> Option<&'a Endpoint> {
+        let endpoint = self.endpoints.believed_primary(group)?;
+        let is_free = !endpoint.failures.is_ejected(self.now) && self.live_attempts_of(endpoint) < 1.0;
+        let was_shown = endpoint.role() == Role::Primary && self.accepts_new_work(endpoint);
+        (was_shown && is_free).then_some(endpoint)
+    }
+}
--- /dev/null
+++ b/crates/routing/src/router/deadlines.rs
@@ -0,0 +1,55 @@
+//! What is due without an event of its own: overdue attempts, deadlines, and sweeps.
+
+use super::Router;
+use crate::{Action, RequestId, Timestamp};
+
+impl Router {
+    /// Looks at the requests that are due, and sweeps if it is time.
+    pub(super) fn process_due(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        while let Some(id) = self.requests.first_due(now) {
+            self.on_attempt_overdue(now, id, actions);
+        }
+        if self.timers.start_sweep(now) {
+            self.sweep(now, actions);
+        }
+    }
+
+    fn sweep(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if self.timers.start_poll(now) {
+            actions.push(Action::Subscribe);
+        }
+        self.queue_schedule.start_sweep();
+        if self.session_tokens.is_full() {
+            let view = self.view(now);
+            let usable = self.endpoints.iter().filter(|endpoint| view.accepts_new_work(endpoint));
+            let lowest_position = usable.map(|endpoint| endpoint.freshness.position()).min();
+            self.session_tokens.remove_applied(lowest_position);
+        }
+    }
+
+    /// A request past its deadline is given up. One whose attempt is overdue is hedged.
+    fn on_attempt_overdue(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(id).filter(|request| now < request.deadline()) else {
+            self.give_up(now, id, actions);
+            return;
+        };
+        let may_hedge = request.attempt_count() < self.settings.max_attempts
+            && request.in_flight_count() <= 1
+            && self.retry_budget.has_token()
+            && now < request.objective_at()
+            && !self.timers.has_stalled(now);
+        self.requests.schedule_check_at_deadline(id);
+        if may_hedge {
+            self.hedge(now, id, actions);
+        }
+    }
+
+    fn hedge(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(endpoint) = self.select_for_read(now, id, actions) else { return };
+        let is_untried = self.requests.get(id).is_some_and(|request| !request.has_tried(&endpoint));
+        if is_untried {
+            self.retry_budget.withdraw();
+            self.send_attempt(now, id, endpoint, actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/routing/src/router/endpoint_outcomes.rs
@@ -0,0 +1,252 @@
+//! What the end of an attempt or a health check means for its endpoint: failures, latency, and signs of
+//! overload.
+
+use super::Router;
+use super::cluster_view::ClusterView;
+use super::in_flight::InFlightAttempt;
+use super::latency::LatencyEstimate;
+use super::outlier_detection::Failure;
+use super::overload::OverloadSample;
+use crate::time::Microseconds;
+use crate::{AttemptOutcome, EndpointId, GroupId, Role, StaleReadPolicy, TimeDelta, Timestamp};
+
+/// The fraction of the objective within which an endpoint that is not overloaded responds; 0.6 was tried.
+const GOOD_TIME: f64 = 0.4;
+
+/// An attempt or a health check that ended.
+pub(super) struct EndedAttempt {
+    /// Where it was sent.
+    pub(super) endpoint: EndpointId,
+    /// How it ended.
+    pub(super) outcome: AttemptOutcome,
+    /// The time since it was sent.
+    pub(super) elapsed: TimeDelta,
+    /// The attempt; `None` for a health check, or if it is no longer known.
+    pub(super) attempt: Option<InFlightAttempt>,
+    /// It was an attempt of a write.
+    pub(super) is_write: bool,
+}
+
+/// The endpoint as it was when the attempt ended.
+struct OutcomeContext {
+    group: GroupId,
+    role: Role,
+    /// Its other work.
+    work: f64,
+    slow_start_tokens: f64,
+    /// The attempt got lost while later ones were answered, which says nothing of how the endpoint does.
+    was_overtaken: bool,
+    /// It responded to other attempts since this one was sent.
+    has_responded_meanwhile: bool,
+    /// The usual latency of the class.
+    usual: Option<LatencyEstimate>,
+    /// The response came late, or was a rejection.
+    is_late: bool,
+}
+
+impl Router {
+    /// A health check ended. A response is no sign that attempts are answered: it bypasses the queue of an
+    /// endpoint that hangs.
+    pub(super) fn on_health_check_completed(
+        &mut self,
+        now: Timestamp,
+        endpoint: EndpointId,
+        outcome: AttemptOutcome,
+        elapsed: TimeDelta,
+        load_report: Option<&[f64]>,
+    ) {
+        if let Some(values) = load_report {
+            self.record_load_report(now, &endpoint, values, elapsed);
+        }
+        if matches!(outcome, AttemptOutcome::ConnectionRefused | AttemptOutcome::ConnectTimeout) {
+            let ended = EndedAttempt { endpoint, outcome, elapsed, attempt: None, is_write: false };
+            self.record_outcome(now, &ended);
+        }
+    }
+
+    /// Records how an attempt or a health check ended at its endpoint.
+    pub(super) fn record_outcome(&mut self, now: Timestamp, ended: &EndedAttempt) {
+        let Some(context) = self.view(now).outcome_context(ended) else { return };
+        self.queue_schedule.retry(context.group);
+        // What became overdue or was closed while this router itself stalled tells nothing of the endpoint.
+        let is_lost = matches!(ended.outcome, AttemptOutcome::Timeout | AttemptOutcome::ConnectionReset);
+        if self.timers.has_stalled(now) && is_lost {
+            return;
+        }
+        let chance = self.random.unit_interval();
+        self.record_work(now, ended, &context);
+        match ended.outcome {
+            AttemptOutcome::Ok => self.record_success(now, ended, &context),
+            AttemptOutcome::Timeout => self.record_timeout(now, ended, &context),
+            AttemptOutcome::ConnectionReset | AttemptOutcome::ConnectionLostBeforeSend => {
+                self.record_failure(now, ended, Failure::LostResponse);
+            }
+            AttemptOutcome::ConnectionRefused => self.record_refused(now, ended, &context, chance),
+            AttemptOutcome::ConnectTimeout => self.record_unreachable(now, ended),
+            AttemptOutcome::Rejected => self.record_rejection(now, ended, &context),
+            AttemptOutcome::NotEligible => self.record_not_eligible(now, ended),
+            // An error speaks against the endpoint only if another one answers the same request.
+            AttemptOutcome::Error | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
+        }
+        self.record_latency(now, ended, &context);
+        self.record_overload(now, ended, &context);
+    }
+
+    fn record_work(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
+        match ended.outcome {
+            AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::NotEligible => {
+                endpoint.work.record_response(now);
+            }
+            AttemptOutcome::Cancelled | AttemptOutcome::Timeout => {
+                if let Some(usual) = context.usual {
+                    let remaining = usual.typical().mul_f64(endpoint.slowness.factor(now));
+                    endpoint.work.record_abandoned(now, remaining);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn record_success(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+        self.throughput.record_success(now);
+        let present = self.clock.to_fleet_time(now);
+        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
+        endpoint.concurrency.record_success(now, ended.elapsed, context.work, context.is_late);
+        endpoint.failures.record_success();
+        endpoint.work.record_success(now - ended.elapsed);
+        let required_position = ended.attempt.and_then(|attempt| attempt.required_position);
+        if self.settings.stale_read_policy == StaleReadPolicy::Reject
+            && let Some(required_position) = required_position
+        {
+            endpoint.freshness.raise_position(required_position.min(present));
+        }
+    }
+
+    fn record_timeout(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+        if context.was_overtaken {
+            return;
+        }
+        // An endpoint that responded to others meanwhile is overloaded, not down: ejecting for that would
+        // eject all.
+        if !context.has_responded_meanwhile {
+            self.record_failure(now, ended, Failure::LostResponse);
+        } else if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
+            endpoint.concurrency.lower(now, ended.elapsed, context.work);
+        }
+    }
+
+    /// The endpoint was down. If it comes back it is cold, whatever the endpoint list shows.
+    fn record_refused(
+        &mut self,
+        now: Timestamp,
+        ended: &EndedAttempt,
+        context: &OutcomeContext,
+        chance: f64,
+    ) {
+        self.record_failure(now, ended, Failure::NoConnection);
+        if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
+            endpoint.restart(now, context.slow_start_tokens.min(chance));
+        }
+    }
+
+    /// The endpoint is silent or cut off, not restarted. Until the endpoint list shows more, few attempts
+    /// show what it can do.
+    fn record_unreachable(&mut self, now: Timestamp, ended: &EndedAttempt) {
+        self.record_failure(now, ended, Failure::NoConnection);
+        if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
+            endpoint.concurrency.reset();
+        }
+    }
+
+    fn record_rejection(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
+        let usual_latency = context.usual.map(|usual| usual.typical());
+        endpoint.concurrency.lower(now, ended.elapsed, context.work);
+        endpoint.concurrency.back_off(now, usual_latency, ended.is_write);
+    }
+
+    fn record_not_eligible(&mut self, now: Timestamp, ended: &EndedAttempt) {
+        let present = self.clock.to_fleet_time(now);
+        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
+        if let Some(required_position) = ended.attempt.and_then(|attempt| attempt.required_position) {
+            endpoint.freshness.record_rejected_read(now, required_position);
+        }
+        if ended.is_write {
+            endpoint.role_evidence.observe_replica_response(present);
+        }
+    }
+
+    fn record_failure(&mut self, now: Timestamp, ended: &EndedAttempt, failure: Failure) {
+        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
+        if endpoint.failures.record_failure(now, failure) {
+            let until = endpoint.failures.ejected_until();
+            let (id, outcome) = (&ended.endpoint.0, ended.outcome);
+            self.log.set(format!("{id} ejected until {} us: {outcome:?}", until.0));
+        }
+    }
+
+    fn record_latency(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+        let Some((attempt, usual)) = ended.attempt.zip(context.usual) else { return };
+        let tells_latency = match ended.outcome {
+            AttemptOutcome::Ok => true,
+            AttemptOutcome::Timeout => {
+                !context.was_overtaken && Microseconds::from(ended.elapsed) >= usual.mean()
+            }
+            _ => false,
+        };
+        if !tells_latency {
+            return;
+        }
+        if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
+            endpoint.slowness.observe(now, ended.elapsed, &usual);
+        }
+        self.latency.observe(attempt.class, ended.elapsed);
+    }
+
+    fn record_overload(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+        if ended.attempt.is_none() {
+            return;
+        }
+        let sample = match ended.outcome {
+            AttemptOutcome::Ok | AttemptOutcome::Rejected => OverloadSample::response(context.is_late),
+            AttemptOutcome::Timeout => {
+                let ratio = self.view(now).overload_ratio(context.group, context.role);
+                OverloadSample::lost_response(ratio)
+            }
+            _ => return,
+        };
+        self.overload.add(now, context.role, sample);
+        if let Some(group) = self.endpoints.group_mut(context.group) {
+            group.overload.add(now, context.role, sample);
+        }
+    }
+}
+
+impl ClusterView<'_> {
+    fn outcome_context(&self, ended: &EndedAttempt) -> Option<OutcomeContext> {
+        let endpoint = self.endpoints.get(&ended.endpoint)?;
+        let work = &endpoint.work;
+        let was_overtaken = |attempt| work.was_overtaken(attempt, self.now, self.latency);
+        Some(OutcomeContext {
+            group: endpoint.group(),
+            role: endpoint.role(),
+            work: self.work_of(endpoint),
+            slow_start_tokens: self.slow_start_tokens(endpoint),
+            was_overtaken: ended.attempt.as_ref().is_some_and(was_overtaken),
+            has_responded_meanwhile: work.has_responded_since(self.now - ended.elapsed),
+            usual: ended.attempt.map(|attempt| *self.latency.of(attempt.class)),
+            is_late: self.is_late(ended),
+        })
+    }
+
+    fn is_late(&self, ended: &EndedAttempt) -> bool {
+        let class = ended.attempt.map(|attempt| &self.settings.classes[attempt.class.0]);
+        let objective = class.map_or(TimeDelta::ZERO, |class| class.latency_objective);
+        match ended.outcome {
+            AttemptOutcome::Rejected => true,
+            AttemptOutcome::Ok => ended.elapsed > objective.mul_f64(GOOD_TIME),
+            _ => false,
+        }
+    }
+}
--- /dev/null
+++ b/crates/routing/src/router/endpoint_reports.rs
@@ -0,0 +1,164 @@
+//! Evidence of the primary and of how far endpoints have applied the log, from response metadata, load
+//! reports and health checks.
+
+use super::Router;
+use super::load_balancing::LISTED_PRIMARY_TIMEOUT;
+use super::load_report::LoadReport;
+use crate::{Action, EndpointId, GroupId, ResponseMetadata, Role, TimeDelta, Timestamp};
+
+/// The shortest interval between two health checks of a search.
+const MIN_SEARCH_INTERVAL: TimeDelta = TimeDelta(1);
+
+impl Router {
+    /// Takes what a response, to an attempt sent `elapsed` ago, tells of its endpoint.
+    pub(super) fn record_metadata(
+        &mut self,
+        now: Timestamp,
+        id: &EndpointId,
+        metadata: ResponseMetadata,
+        elapsed: TimeDelta,
+        is_write: bool,
+    ) {
+        let is_primary = metadata.role == Some(Role::Primary);
+        let position = self.record_position(now, metadata, elapsed, is_write && is_primary);
+        let present = self.clock.to_fleet_time(now);
+        let is_confirmed = self.clock.is_confirmed();
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
+        // The position in the response to a write is that of its commit, which only a primary makes.
+        let applied = position.filter(|_| !is_write || is_primary);
+        if let Some(position) = applied {
+            endpoint.freshness.observe_response(now, position);
+        }
+        match metadata.role {
+            Some(Role::Primary) => {
+                let sent_at = present - elapsed;
+                // Unless the clock is confirmed, a moment of it dates no position.
+                if is_confirmed {
+                    endpoint.freshness.raise_position(sent_at);
+                }
+                self.record_primary(now, id, sent_at.max(applied.unwrap_or(sent_at)));
+            }
+            Some(Role::Replica) => endpoint.role_evidence.observe_replica_response(present),
+            None => {}
+        }
+    }
+
+    /// Takes the position of a response into the fleet's clock, and returns it if it is valid.
+    fn record_position(
+        &mut self,
+        now: Timestamp,
+        metadata: ResponseMetadata,
+        elapsed: TimeDelta,
+        is_commit: bool,
+    ) -> Option<Timestamp> {
+        let was_confirmed = self.clock.is_confirmed();
+        let position = metadata.position.filter(|position| self.clock.observe_position(now, *position));
+        if let Some(commit) = position.filter(|_| is_commit)
+            && self.clock.observe_commit(now, commit, elapsed)
+        {
+            self.on_clock_set_back(now);
+        }
+        self.on_clock_observed(now, was_confirmed);
+        position
+    }
+
+    /// Takes a load report that came in response to something sent `elapsed` ago.
+    pub(super) fn record_load_report(
+        &mut self,
+        now: Timestamp,
+        id: &EndpointId,
+        values: &[f64],
+        elapsed: TimeDelta,
+    ) {
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
+        let report = LoadReport::decode(&self.settings, values);
+        let Some(position) = report.position else { return };
+        if !self.clock.observe_position(now, position) {
+            return;
+        }
+        endpoint.freshness.observe_report(now, position);
+        self.queue_schedule.retry(endpoint.group());
+        match report.role {
+            Some(Role::Primary) => {
+                let was_confirmed = self.clock.is_confirmed();
+                self.clock.observe_primary_position(now, position, elapsed);
+                self.on_clock_observed(now, was_confirmed);
+                self.record_primary(now, id, position);
+            }
+            Some(Role::Replica) => endpoint.role_evidence.observe_replica(position),
+            None => {}
+        }
+    }
+
+    fn on_clock_observed(&mut self, now: Timestamp, was_confirmed: bool) {
+        if !was_confirmed && self.clock.is_confirmed() {
+            self.endpoints.redate_listed_starts(now, &self.clock);
+        }
+    }
+
+    fn on_clock_set_back(&mut self, now: Timestamp) {
+        self.endpoints.limit_times(self.clock.to_fleet_time(now));
+        self.endpoints.redate_listed_starts(now, &self.clock);
+        self.log.set("the clock was ahead of the fleet's".to_owned());
+    }
+
+    /// An endpoint was the primary at a moment of the fleet's clock. It is believed to be, unless another one
+    /// was shown to be later.
+    fn record_primary(&mut self, now: Timestamp, id: &EndpointId, at: Timestamp) {
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
+        endpoint.role_evidence.observe_primary(at);
+        let group_id = endpoint.group();
+        let rival = self.endpoints.believed_primary(group_id).filter(|believed| believed.id() != id);
+        let rival_at = rival.map_or(Timestamp::DISTANT_PAST, |rival| rival.role_evidence.primary_at());
+        let Some(group) = self.endpoints.group_mut(group_id) else { return };
+        if at > rival_at {
+            if group.primary.is_unknown() || group.primary.believed() != Some(id) {
+                self.log.set(format!("group {}: primary shown at {}", group_id.0, id.0));
+            }
+            group.primary.believe(id.clone());
+        }
+        self.queue_schedule.retry(group_id);
+        if self.view(now).shown_primary(group_id).is_some()
+            && let Some(group) = self.endpoints.group_mut(group_id)
+        {
+            group.primary.mark_found();
+        }
+    }
+
+    /// Searches for a group's primary. A router that knows nothing of the group checks the listed primary
+    /// first, which is seldom wrong.
+    pub(super) fn search_primary(&mut self, now: Timestamp, group: GroupId, actions: &mut Vec<Action>) {
+        let view = self.view(now);
+        let Some(known_group) = self.endpoints.group(group) else { return };
+        let listed = view.unheard_listed_primary(known_group).map(|endpoint| endpoint.id().clone());
+        if let Some(listed) = listed {
+            self.send_health_checks(now, &[listed], LISTED_PRIMARY_TIMEOUT, actions);
+            return;
+        }
+        let (router_count, soft_removal) = (self.settings.router_count, self.settings.soft_removal);
+        let due = self.endpoints.continue_primary_search(now, group, router_count, soft_removal);
+        self.send_health_checks(now, &due, MIN_SEARCH_INTERVAL, actions);
+    }
+
+    /// Sends health checks to the endpoints that were sent none for `interval`, where health checks are
+    /// allowed.
+    pub(super) fn send_health_checks(
+        &mut self,
+        now: Timestamp,
+        endpoints: &[EndpointId],
+        interval: TimeDelta,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.settings.health_checks_allowed {
+            return;
+        }
+        for id in endpoints {
+            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
+            let is_due = now - endpoint.health_checked_at() >= interval;
+            if is_due && endpoint.accepts_new_work(self.settings.soft_removal) {
+                actions.push(Action::HealthCheck { endpoint: id.clone() });
+                endpoint.record_health_check(now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/routing/src/router/endpoint_updates.rs
@@ -0,0 +1,42 @@
+//! Updates of the endpoint list. They are the weakest evidence: they tell the endpoints, drains and starts,
+//! but only suggest a primary.
+
+use super::Router;
+use super::concurrency::ConcurrencyLimit;
+use super::slow_start::ListedStart;
+use crate::{EndpointEntry, EndpointUpdate, Timestamp};
+use std::collections::BTreeSet;
+
+impl Router {
+    /// The endpoint list changed.
+    pub(super) fn on_endpoint_update(&mut self, now: Timestamp, update: EndpointUpdate) {
+        match update {
+            EndpointUpdate::Snapshot(entries) => {
+                let listed = entries.iter().map(|entry| entry.endpoint.clone()).collect();
+                self.update_endpoints(now, &entries);
+                self.remove_unlisted(&listed);
+            }
+            EndpointUpdate::Delta(entries) => self.update_endpoints(now, &entries),
+            EndpointUpdate::PollFailed => self.timers.retry_poll(now),
+            EndpointUpdate::Evicted(endpoints) => self.endpoints.evict(&endpoints),
+        }
+    }
+
+    fn update_endpoints(&mut self, now: Timestamp, entries: &[EndpointEntry]) {
+        let is_first = !std::mem::replace(&mut self.has_endpoint_list, true);
+        let initial_limit = ConcurrencyLimit::initial(self.settings.router_count);
+        for entry in entries {
+            self.queue_schedule.retry(entry.group);
+            let initial_tokens = self.random.unit_interval();
+            let endpoint = self.endpoints.upsert(entry, initial_limit);
+            if let Some(fleet_time) = entry.started_at {
+                let start = ListedStart { fleet_time, is_recent: !is_first, initial_tokens };
+                endpoint.observe_listed_start(now, start, &self.clock);
+            }
+        }
+    }
+
+    fn remove_unlisted(&mut self, listed: &BTreeSet<crate::EndpointId>) {
+        self.endpoints.remove_unlisted(listed);
+    }
+}
--- a/crates/routing/src/router/fleet_clock.rs
+++ b/crates/routing/src/router/fleet_clock.rs
@@ -1,78 +1,98 @@
-//! The clock that positions, commits and starts are told in. This router's own clock measures spans; what it
-//! was set to may be off by seconds or by an hour, and shows only where the fleet tells of the present.
+//! The fleet's clock, on which log positions, commits and starts are dated. The router's own clock measures
+//! durations; what it is set to may be off by seconds or by an hour, which shows only where endpoints tell
+//! the present.
 
-use crate::state::NEVER;
 use crate::{TimeDelta, Timestamp};
 
-/// What is further off than this is no sign of the clock but nonsense.
-const LARGEST_ERROR: TimeDelta = TimeDelta::from_millis(2 * 3_600_000);
-/// A clock that agrees within this is right: reports are of different ages.
+/// A larger difference is not an error of the clock, but an invalid value.
+const MAX_ERROR: TimeDelta = TimeDelta::from_millis(2 * 3_600_000);
+/// A smaller difference confirms the clock: reports are of different ages.
 const TOLERANCE: TimeDelta = TimeDelta::from_millis(500);
+/// How long a router that has just started waits for a primary to confirm its clock.
+const MAX_CONFIRMATION_WAIT: TimeDelta = TimeDelta::from_millis(100);
 
-/// The fleet's time, by the router's own and what it has been told.
+/// The fleet's time, estimated from the router's clock and from what endpoints told.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetClock {
-    /// What the fleet's clock is ahead of the router's own.
-    ahead: TimeDelta,
-    /// The latest position that was told.
-    latest: Timestamp,
-    /// A primary's word has agreed with it.
-    confirmed: bool,
+    /// How far the fleet's clock is ahead of the router's.
+    offset: TimeDelta,
+    /// The latest position that any endpoint told.
+    latest_position: Timestamp,
+    /// Whether a primary agreed with it.
+    is_confirmed: bool,
+    /// When a read first waited for that.
+    confirmation_awaited_since: Option<Timestamp>,
 }
 
 impl Default for FleetClock {
     fn default() -> Self {
-        Self { ahead: TimeDelta(0), latest: NEVER, confirmed: false }
+        Self {
+            offset: TimeDelta::ZERO,
+            latest_position: Timestamp::DISTANT_PAST,
+            is_confirmed: false,
+            confirmation_awaited_since: None,
+        }
     }
 }
 
 impl FleetClock {
-    /// The fleet's time at a moment of the router's own clock.
-    pub(super) fn at(&self, own: Timestamp) -> Timestamp {
-        own + self.ahead
+    /// The fleet's time at a moment of the router's clock.
+    pub(super) fn to_fleet_time(self, router_time: Timestamp) -> Timestamp {
+        router_time + self.offset
     }
 
-    /// A moment of the fleet's time on the router's own clock.
-    pub(super) fn own(&self, fleet: Timestamp) -> Timestamp {
-        fleet - self.ahead
+    /// The router's time at a moment of the fleet's clock.
+    pub(super) fn to_router_time(self, fleet_time: Timestamp) -> Timestamp {
+        fleet_time - self.offset
     }
 
-    /// Whether a primary's word has agreed with it.
+    /// Whether a primary agreed with it.
     pub(super) fn is_confirmed(&self) -> bool {
-        self.confirmed
+        self.is_confirmed
+    }
+
+    /// Waits for a primary to confirm it, and returns whether that has lasted too long.
+    pub(super) fn has_awaited_confirmation(&mut self, now: Timestamp) -> bool {
+        now - *self.confirmation_awaited_since.get_or_insert(now) >= MAX_CONFIRMATION_WAIT
     }
 
-    /// Some member has applied all up to this position: the present is no earlier. Whether it can be.
-    pub(super) fn heard_position(&mut self, own: Timestamp, position: Timestamp) -> bool {
-        let error = position - self.at(own);
-        if error > LARGEST_ERROR {
+    /// Some endpoint has applied the log up to this position, so the present is no earlier. Returns whether
+    /// the position is valid.
+    pub(super) fn observe_position(&mut self, now: Timestamp, position: Timestamp) -> bool {
+        let error = position - self.to_fleet_time(now);
+        if error > MAX_ERROR {
             return false;
         }
-        if error > TimeDelta(0) {
-            self.ahead = self.ahead + error;
+        if error > TimeDelta::ZERO {
+            self.offset = self.offset + error;
         }
-        self.latest = self.latest.max(position);
+        self.latest_position = self.latest_position.max(position);
         true
     }
 
-    /// A primary said where it stood after a question that took so long: there, or a little later, is the
-    /// present.
-    pub(super) fn heard_primary(&mut self, own: Timestamp, position: Timestamp, took: TimeDelta) {
-        self.confirmed |= self.at(own) - position <= TOLERANCE + took;
+    /// A primary reported its position in response to a health check that took `elapsed`: the present is
+    /// there, or a little later.
+    pub(super) fn observe_primary_position(
+        &mut self,
+        now: Timestamp,
+        position: Timestamp,
+        elapsed: TimeDelta,
+    ) {
+        self.is_confirmed |= self.to_fleet_time(now) - position <= TOLERANCE + elapsed;
     }
 
-    /// A write was committed after it was sent so long ago: the present is no later than that after its
-    /// commit. Gives whether the clock was ahead and has been set back. No further than to what others told:
-    /// data that is too old must not come to look fresh.
-    pub(super) fn heard_commit(&mut self, own: Timestamp, commit: Timestamp, took: TimeDelta) -> bool {
-        let error = self.at(own) - (commit + took).max(self.latest);
-        if error > LARGEST_ERROR {
+    /// A write that was sent `elapsed` ago was committed at `commit`: the present is no later than that after
+    /// its commit. Returns whether the clock was ahead and has been set back. It is never set back behind the
+    /// latest position, or stale data would count as fresh.
+    pub(super) fn observe_commit(&mut self, now: Timestamp, commit: Timestamp, elapsed: TimeDelta) -> bool {
+        let error = self.to_fleet_time(now) - (commit + elapsed).max(self.latest_position);
+        if error > MAX_ERROR {
             return false;
         }
-        self.confirmed = true;
+        self.is_confirmed = true;
         let was_ahead = error > TOLERANCE;
         if was_ahead {
-            self.ahead = self.ahead - error;
+            self.offset = self.offset - error;
         }
         was_ahead
     }
--- /dev/null
+++ b/crates/routing/src/router/latency.rs
@@ -0,0 +1,129 @@
+//! The usual latency of each request class, and how much slower than usual an endpoint responds.
+
+use super::decaying::remaining_weight;
+use crate::time::Microseconds;
+use crate::{ClassId, RequestClass, TimeDelta, Timestamp};
+
+/// The first guess of a class's mean latency, as a fraction of its objective. A lower guess timed out a tenth
+/// of the requests of a quiet day.
+const INITIAL_MEAN: f64 = 0.25;
+/// The first guess of the mean deviation, as a fraction of the objective.
+const INITIAL_MEAN_DEVIATION: f64 = 0.125;
+/// The number of responses that the first guess counts for.
+const INITIAL_SAMPLES: f64 = 4.0;
+/// The number of responses that an estimate averages over.
+const MAX_SAMPLES: f64 = 33.0;
+/// What the slowness of an endpoint keeps of its value with each response.
+const SLOWNESS_RETENTION: f64 = 0.9;
+/// The lower bound of the slowness.
+const MIN_SLOWNESS: f64 = 0.3;
+/// The upper bound of the slowness.
+const MAX_SLOWNESS: f64 = 10.0;
+/// How long a slowness stays known without new responses.
+const SLOWNESS_MEMORY: TimeDelta = TimeDelta::from_millis(7_000);
+
+/// The usual latency of a class.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LatencyEstimate {
+    mean: Microseconds,
+    mean_deviation: Microseconds,
+    samples: f64,
+}
+
+impl LatencyEstimate {
+    fn from_objective(objective: TimeDelta) -> Self {
+        let Microseconds(objective) = objective.into();
+        Self {
+            mean: Microseconds(objective * INITIAL_MEAN),
+            mean_deviation: Microseconds(objective * INITIAL_MEAN_DEVIATION),
+            samples: INITIAL_SAMPLES,
+        }
+    }
+
+    /// The mean latency.
+    pub(super) fn mean(&self) -> Microseconds {
+        self.mean
+    }
+
+    /// The mean latency, at least one microsecond, to divide by.
+    pub(super) fn positive_mean(&self) -> Microseconds {
+        Microseconds(self.mean.0.max(1.0))
+    }
+
+    /// The mean latency in whole microseconds.
+    pub(super) fn typical(&self) -> TimeDelta {
+        self.quantile_bound(0.0)
+    }
+
+    /// A latency that few responses exceed: the mean plus so many mean deviations.
+    pub(super) fn quantile_bound(&self, deviations: f64) -> TimeDelta {
+        TimeDelta((self.mean.0 + deviations * self.mean_deviation.0) as i64)
+    }
+
+    /// How many times the usual latency a duration is.
+    pub(super) fn relative(&self, duration: TimeDelta) -> f64 {
+        Microseconds::from(duration).0 / self.positive_mean().0
+    }
+
+    fn observe(&mut self, latency: Microseconds) {
+        self.samples = (self.samples + 1.0).min(MAX_SAMPLES);
+        let deviation = (latency.0 - self.mean.0).abs();
+        self.mean_deviation.0 += (deviation - self.mean_deviation.0) / self.samples;
+        self.mean.0 += (latency.0 - self.mean.0) / self.samples;
+    }
+}
+
+/// The latency estimates of all classes.
+#[derive(Clone, Debug)]
+pub(super) struct LatencyEstimates {
+    by_class: Vec<LatencyEstimate>,
+}
+
+impl LatencyEstimates {
+    /// First guesses from the latency objectives.
+    pub(super) fn new(classes: &[RequestClass]) -> Self {
+        let estimate = |class: &RequestClass| LatencyEstimate::from_objective(class.latency_objective);
+        Self { by_class: classes.iter().map(estimate).collect() }
+    }
+
+    /// The estimate of a class.
+    pub(super) fn of(&self, class: ClassId) -> &LatencyEstimate {
+        &self.by_class[class.0]
+    }
+
+    /// Takes the latency of a response into account.
+    pub(super) fn observe(&mut self, class: ClassId, latency: TimeDelta) {
+        self.by_class[class.0].observe(latency.into());
+    }
+}
+
+/// The latency of an endpoint as a multiple of what is usual for the class.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Slowness {
+    factor: f64,
+    observed_at: Timestamp,
+}
+
+impl Default for Slowness {
+    fn default() -> Self {
+        Self { factor: 1.0, observed_at: Timestamp::default() }
+    }
+}
+
+impl Slowness {
+    /// The multiple as far as it is still known. It returns to 1 over time, since an endpoint that receives
+    /// no requests has no way to show that it has recovered.
+    pub(super) fn factor(&self, now: Timestamp) -> f64 {
+        let known = remaining_weight(self.observed_at, now, SLOWNESS_MEMORY);
+        1.0 + (self.factor - 1.0) * known
+    }
+
+    /// Takes the latency of a response into account.
+    pub(super) fn observe(&mut self, now: Timestamp, latency: TimeDelta, usual: &LatencyEstimate) {
+        let Microseconds(latency) = latency.into();
+        let kept = self.factor(now) * SLOWNESS_RETENTION;
+        let factor = kept + (1.0 - SLOWNESS_RETENTION) * latency / usual.positive_mean().0;
+        self.factor = factor.clamp(MIN_SLOWNESS, MAX_SLOWNESS);
+        self.observed_at = now;
+    }
+}
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -1,145 +1,172 @@
-//! Every decision of the pooler. The types, events and actions stand in `interface.rs`, the plain state in
-//! `state.rs`.
+//! The router: it receives an event, asks its parts, and emits actions.
 //!
-//! Wu and Kemme's mechanism: a read goes to a random member fresh enough; if that is over the threshold, to
-//! the first under it of the next `FORWARD`. A write goes to the mark, walks on proof, and is then held.
+//! Each part keeps one concern, in a type with private fields:
+//!
+//! - `endpoints`: the endpoints, their lifecycle and groups; it holds the parts that are kept by endpoint or
+//!   group.
+//! - `fleet_clock`, `freshness`, `primary`: what time it is for the fleet, how current data is, who the
+//!   primary is.
+//! - `in_flight`, `latency`, `outlier_detection`, `concurrency`, `slow_start`: how an endpoint does, and what
+//!   it may be sent.
+//! - `overload`, `demand`, `retry_budget`: what the fleet can take, and what it is asked for.
+//! - `requests`, `queue`, `timers`: the requests, and when each must be looked at.
+//!
+//! `cluster_view`, `load_balancing` and `load_shedding` combine parts to answer questions, and change
+//! nothing. The modules that implement methods of [`Router`] handle events: only they change parts, by the
+//! parts' methods.
 
-mod evidence;
+mod attempt_completion;
+mod cluster_view;
+mod concurrency;
+mod deadlines;
+mod decaying;
+mod demand;
+mod dispatch;
+mod endpoint_outcomes;
+mod endpoint_reports;
+mod endpoint_updates;
+mod endpoints;
 mod fleet_clock;
-mod health;
-mod list;
-mod outcomes;
-mod placement;
+mod freshness;
+mod in_flight;
+mod latency;
+mod load_balancing;
+mod load_report;
+mod load_shedding;
+mod operator_log;
+mod outlier_detection;
+mod overload;
+mod primary;
+mod queue;
+mod random;
 mod requests;
-mod shedding;
+mod retry_budget;
 mod slow_start;
-mod tuning;
+mod timers;
 
-use crate::state::*;
-use crate::*;
+use crate::{Action, EndpointId, Event, Operation, RequestId, Role, Settings, Timestamp};
+use cluster_view::ClusterView;
+use demand::Demand;
+use endpoints::Endpoints;
 use fleet_clock::FleetClock;
-use rand_chacha::ChaCha8Rng;
-use rand_chacha::rand_core::{RngCore, SeedableRng};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-use tuning::*;
+use freshness::SessionTokens;
+use latency::LatencyEstimates;
+use operator_log::OperatorLog;
+use overload::OverloadRatios;
+use queue::QueueSchedule;
+use random::RandomSource;
+use requests::PendingRequests;
+use retry_budget::{HealthCheckBudget, RetryBudget};
+use slow_start::Throughput;
+use timers::Timers;
 
 /// The decisions of one router.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: Settings,
-    rng: ChaCha8Rng,
+    random: RandomSource,
     clock: FleetClock,
-    /// When the first read waited for a primary to tell the present.
-    primary_awaited: Option<Timestamp>,
-    /// The list has been told once: what comes after it are changes.
-    has_list: bool,
-    members: BTreeMap<EndpointId, Member>,
-    groups: BTreeMap<GroupId, Group>,
-    open: BTreeMap<RequestId, Open>,
-    due: BTreeSet<(Timestamp, RequestId)>,
-    /// Groups that hold requests, and those of which something new is known.
-    waiting: BTreeSet<GroupId>,
-    stirred: BTreeSet<GroupId>,
-    pace: Vec<Pace>,
-    /// Worth served and asked for.
-    classes: Vec<Counts>,
-    tenants: Vec<Counts>,
-    tokens: HashMap<SessionKey, Timestamp>,
-    crowd: [Counts; 2],
-    /// Answers, of all members in service, and when the first came.
-    served: Counts,
-    began: Timestamp,
-    in_service: f64,
-    /// Questions for positions that may be asked.
-    asks: f64,
-    retries: f64,
-    wake: Option<Timestamp>,
-    swept: Timestamp,
-    stalled: Timestamp,
-    ask_at: Option<Timestamp>,
-    log: Option<String>,
-    logged: Timestamp,
+    endpoints: Endpoints,
+    /// The endpoint list was told once; what comes after it are changes.
+    has_endpoint_list: bool,
+    requests: PendingRequests,
+    queue_schedule: QueueSchedule,
+    session_tokens: SessionTokens,
+    latency: LatencyEstimates,
+    demand: Demand,
+    overload: OverloadRatios,
+    throughput: Throughput,
+    retry_budget: RetryBudget,
+    health_check_budget: HealthCheckBudget,
+    timers: Timers,
+    log: OperatorLog,
 }
 
 impl Router {
     /// A router that knows nothing but its settings.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
-        let pace = |class: &RequestClass| {
-            let aim = class.latency_objective.0 as f64;
-            Pace { mean: aim * PACE_MEAN, dev: aim * PACE_DEV, seen: PACE_PRIOR }
-        };
         Self {
-            rng: ChaCha8Rng::seed_from_u64(seed),
+            random: RandomSource::new(seed),
             clock: FleetClock::default(),
-            primary_awaited: None,
-            has_list: false,
-            pace: settings.classes.iter().map(pace).collect(),
-            classes: vec![Counts::default(); settings.classes.len()],
-            tenants: vec![Counts::default(); settings.tenants.len()],
-            members: BTreeMap::new(),
-            groups: BTreeMap::new(),
-            open: BTreeMap::new(),
-            due: BTreeSet::new(),
-            waiting: BTreeSet::new(),
-            stirred: BTreeSet::new(),
-            tokens: HashMap::new(),
-            crowd: [Counts::default(); 2],
-            served: Counts::default(),
-            began: Timestamp(i64::MAX),
-            in_service: 0.0,
-            asks: ASKS_MOST,
-            retries: 1.0,
-            wake: None,
-            swept: NEVER,
-            stalled: NEVER,
-            ask_at: (settings.discovery == Discovery::Poll).then_some(NEVER),
-            log: None,
-            logged: NEVER,
+            endpoints: Endpoints::default(),
+            has_endpoint_list: false,
+            requests: PendingRequests::default(),
+            queue_schedule: QueueSchedule::default(),
+            session_tokens: SessionTokens::default(),
+            latency: LatencyEstimates::new(&settings.classes),
+            demand: Demand::new(&settings),
+            overload: OverloadRatios::default(),
+            throughput: Throughput::default(),
+            retry_budget: RetryBudget::default(),
+            health_check_budget: HealthCheckBudget::default(),
+            timers: Timers::new(settings.discovery),
+            log: OperatorLog::default(),
             settings,
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles an event that happened at `now`, and appends the actions that follow from it.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        self.stalled = if self.wake.is_some_and(|at| now - at > STALL) { now } else { self.stalled };
-        self.wake = self.wake.filter(|at| now < *at);
-        match event {
-            Event::EndpointUpdate(listing) => self.list(now, listing),
-            Event::Request(request) => self.request(now, &request, actions),
-            Event::RequestAbandoned(id) => drop(self.drop_open(id, actions)),
-            Event::ResponseStarted(id) => drop(self.drop_open(id, &mut Vec::new())),
-            Event::TimerFired => {}
-            Event::AttemptCompleted(outcome) => self.outcome(now, outcome, actions),
-            Event::HealthCheckCompleted {
-                endpoint: member,
-                outcome: verdict,
-                elapsed: took,
-                load_report: report,
-            } => {
-                // An answered probe is no sign of life: it passes beside the queue of a member that hangs.
-                self.report(now, &member, report.as_deref(), took);
-                if matches!(verdict, AttemptOutcome::ConnectionRefused | AttemptOutcome::ConnectTimeout) {
-                    self.judge(now, &member, verdict, took, None);
-                }
-            }
-        }
-        self.sweep(now, actions);
-        self.release(now, actions);
-        if let Some(line) = self.log.take().filter(|_| now - self.logged >= LOG_EVERY) {
-            self.logged = now;
+        self.timers.on_event(now);
+        self.handle_event(now, event, actions);
+        self.process_due(now, actions);
+        self.dispatch_queued(now, actions);
+        if let Some(line) = self.log.take(now) {
             actions.push(Action::Log { line });
         }
-        let soon = (!self.waiting.is_empty()).then_some(now + SWEEP);
-        let next = self.due.first().map(|due| due.0.max(now + TimeDelta(1)));
-        let next = next.into_iter().chain(soon).chain(self.ask_at).min();
-        if let Some(at) = next.filter(|next| self.wake.is_none_or(|at| *next < at)) {
-            self.wake = Some(at);
+        let next_check_at = self.requests.next_check_at();
+        let has_queued_requests = self.queue_schedule.needs_sweep();
+        if let Some(at) = self.timers.reschedule(now, next_check_at, has_queued_requests) {
             actions.push(Action::SetTimer { at });
         }
     }
 
-    pub(super) fn chance(&mut self) -> f64 {
-        f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
+    /// Whether an attempt that waited for its connection may still be sent: data grows old meanwhile.
+    #[must_use]
+    pub fn still_eligible(&self, now: Timestamp, id: RequestId, endpoint: &EndpointId) -> bool {
+        let Some(request) = self.requests.get(id) else { return false };
+        let Some(endpoint) = self.endpoints.get(endpoint) else { return false };
+        let view = self.view(now);
+        let needs_no_check =
+            view.operation_of(request) == Operation::Write || endpoint.role() == Role::Primary;
+        endpoint.group() == request.group()
+            && (needs_no_check || view.may_serve(endpoint, view.required_position(request)))
+    }
+
+    /// Whether an endpoint may be sent anything new, as the endpoint list has it by now.
+    #[must_use]
+    pub fn accepts_new_work(&self, endpoint: &EndpointId) -> bool {
+        let endpoint = self.endpoints.get(endpoint);
+        endpoint.is_some_and(|endpoint| endpoint.accepts_new_work(self.settings.soft_removal))
+    }
+
+    fn handle_event(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointUpdate(update) => self.on_endpoint_update(now, update),
+            Event::Request(request) => self.on_request(now, &request, actions),
+            Event::RequestAbandoned(id) => drop(self.close_request(id, actions)),
+            Event::ResponseStarted(id) => drop(self.release_request(id)),
+            Event::TimerFired => {}
+            Event::AttemptCompleted(completion) => self.on_attempt_completed(now, &completion, actions),
+            Event::HealthCheckCompleted { endpoint, outcome, elapsed, load_report } => {
+                self.on_health_check_completed(now, endpoint, outcome, elapsed, load_report.as_deref());
+            }
+        }
+    }
+
+    /// The parts, to read, as of `now`.
+    fn view(&self, now: Timestamp) -> ClusterView<'_> {
+        ClusterView {
+            now,
+            settings: &self.settings,
+            clock: &self.clock,
+            endpoints: &self.endpoints,
+            latency: &self.latency,
+            demand: &self.demand,
+            overload: &self.overload,
+            throughput: &self.throughput,
+            has_stalled: self.timers.has_stalled(now),
+        }
     }
 }
--- a/crates/routing/src/router/requests.rs
+++ b/crates/routing/src/router/requests.rs
@@ -1,216 +1,266 @@
-//! The life of a request in the router: taken, placed, held, sent, and given its final answer.
-
-use super::Router;
-use super::tuning::*;
-use crate::state::*;
-use crate::*;
-
-impl Router {
-    pub(super) fn request(&mut self, now: Timestamp, request: &Request, actions: &mut Vec<Action>) {
-        let Some(class) = self.settings.classes.get(request.class.0) else {
-            actions.push(Action::Fail { request: request.id });
-            return;
-        };
-        let token = match self.settings.session_token_source {
-            // The commit was rounded up and the age may be rounded too: a millisecond on the safe side.
-            SessionTokenSource::Request => {
-                request.since_last_write.map(|ago| now - ago + TimeDelta::from_millis(1))
-            }
-            SessionTokenSource::Router => request.session.and_then(|key| self.tokens.get(&key).copied()),
-        };
+//! The requests that are owed a final response, and when each must be looked at.
+
+use crate::{
+    AttemptNumber, AttemptOutcome, ClassId, EndpointId, GroupId, Request, RequestClass, RequestId,
+    SessionKey, TenantId, TimeDelta, Timestamp,
+};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A request with less time left than this is not dispatched any more.
+const MIN_TIME_TO_DISPATCH: TimeDelta = TimeDelta::from_millis(10);
+/// The fraction of its time that a read waits for its first dispatch. Rejected later, its client would have
+/// no time to retry elsewhere.
+const MAX_QUEUE_TIME: f64 = 0.4;
+/// A request for which this many endpoints returned errors is at fault itself.
+const MAX_ERRORS: usize = 2;
+
+/// An attempt, as its request sees it.
+#[derive(Clone, Debug)]
+struct Attempt {
+    endpoint: EndpointId,
+    is_in_flight: bool,
+    returned_error: bool,
+}
+
+/// A request that is owed its final response.
+#[derive(Clone, Debug)]
+pub(super) struct PendingRequest {
+    id: RequestId,
+    class: ClassId,
+    tenant: Option<TenantId>,
+    group: GroupId,
+    session: Option<SessionKey>,
+    session_token: Option<Timestamp>,
+    arrived_at: Timestamp,
+    /// Until when a response is worth the full priority weight.
+    objective_at: Timestamp,
+    deadline: Timestamp,
+    attempts: Vec<Attempt>,
+    /// Some attempt may have run.
+    may_have_run: bool,
+    /// Attempts that proved that their endpoint is not a primary that is up.
+    failed_primaries: u32,
+    /// When it is to be looked at: its deadline, or when its attempt is overdue.
+    next_check_at: Timestamp,
+}
+
+impl PendingRequest {
+    /// A request that has just arrived; a read of its session must see all up to `session_token`.
+    pub(super) fn new(
+        now: Timestamp,
+        request: &Request,
+        class: &RequestClass,
+        session_token: Option<Timestamp>,
+    ) -> Self {
         let stretch =
-            request.expected_work.map_or(TimeDelta(0), |cost| cost.mul_f64(class.objective_stretch));
+            request.expected_work.map_or(TimeDelta::ZERO, |work| work.mul_f64(class.objective_stretch));
         let deadline = now + request.time_remaining;
-        let open = Open {
-            class: request.class.0,
-            tenant: request.tenant.map(|tenant| tenant.0),
+        Self {
+            id: request.id,
+            class: request.class,
+            tenant: request.tenant,
             group: request.group,
             session: request.session,
-            token,
-            arrived: now,
-            aim: (now + class.latency_objective + stretch).min(deadline),
+            session_token,
+            arrived_at: now,
+            objective_at: (now + class.latency_objective + stretch).min(deadline),
             deadline,
-            due: deadline,
-            ..Open::default()
-        };
-        self.tally(now, &open, [0.0, 1.0]);
-        self.retries = (self.retries + RETRY_GAIN).min(RETRY_MOST);
-        let affordable = ASKS_PRICE / self.settings.health_check_cost.max(f64::EPSILON);
-        self.asks = (self.asks + affordable).min(ASKS_MOST);
-        self.due.insert((deadline, request.id));
-        self.open.insert(request.id, open);
-        self.place(now, request.id, actions);
-    }
-
-    pub(super) fn place(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
-        let chance = self.chance();
-        let Some(open) = self.open.get(&id) else { return };
-        let class = &self.settings.classes[open.class];
-        let spent = open.attempts.len() as u32 >= self.settings.max_attempts;
-        let ran = open.may_have_run && class.idempotency != Idempotency::Idempotent;
-        // What has less time left than an answer takes only keeps others waiting.
-        let last = if class.late_weight > 0.0 { open.deadline } else { open.aim };
-        let takes = self.pace[open.class].takes(SURE);
-        let jam = self.crowding(now, open.group, REPLICA) > HOPELESS_CROWD && chance < HOPELESS_NEW;
-        let waited = jam || now > open.arrived;
-        // One never sent keeps its client from trying elsewhere: it is told while half its time is left.
-        let half =
-            open.attempts.is_empty() && now - open.arrived > (open.deadline - open.arrived).mul_f64(HELD);
-        let hopeless = class.operation != Operation::Write && waited && (half || now + takes >= last);
-        if spent || ran || hopeless || now + SWEEP >= open.deadline {
-            self.give_up(now, id, actions);
-            return;
-        }
-        let new = open.attempts.is_empty() && now == open.arrived;
-        let (key, gid) = ((open.arrived, id), open.group);
-        let to = match class.operation {
-            Operation::Write => self.place_write(now, id, actions),
-            _ => self.place_read(now, id, actions),
-        };
-        if to.as_ref().is_some_and(|to| new && self.one_too_many(now, id, self.members[to].role())) {
-            self.give_up(now, id, actions);
-            return;
-        }
-        let group = self.groups.entry(gid).or_default();
-        if let Some(member) = to {
-            group.held.remove(&key);
-            self.send(now, id, member, actions);
-        } else {
-            group.held.insert(key);
-            self.waiting.insert(gid);
+            attempts: Vec::new(),
+            may_have_run: false,
+            failed_primaries: 0,
+            next_check_at: deadline,
         }
     }
 
-    pub(super) fn send(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        member: EndpointId,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some((open, m)) = self.open.get(&id).zip(self.members.get(&member)) else { return };
-        let (need, credit) = (self.need(now, open), self.credit(m, now));
-        let class = &self.settings.classes[open.class];
-        let pace = self.pace[open.class];
-        let patience = pace.takes(OVERDUE).max(class.latency_objective.mul_f64(LEAST_PATIENCE));
-        // Not cut off at the aim: its work goes on, its connection is lost, and its client asks once more.
-        let last = open.deadline;
-        // Second tries stop where the whole group is slow: they would only add to it.
-        let again = class.idempotency == Idempotency::Idempotent
-            && now + patience + pace.takes(0.0) < open.aim
-            && self.crowding(now, m.group, m.role()) < CROWDED;
-        let hedged = again && self.settings.hedging_allowed;
-        let timeout = if again && !hedged && self.retries >= 1.0 { patience } else { last - now };
-        let due = if hedged { now + patience } else { open.deadline };
-        self.set_due(id, due);
-        let Some((open, m)) = self.open.get_mut(&id).zip(self.members.get_mut(&member)) else { return };
-        let attempt = AttemptNumber(open.attempts.len() as u32);
-        open.attempts.push(Attempt { member: member.clone(), open: true, errored: false });
-        m.out.insert((id, attempt), Out { sent: now, class: open.class, session: open.session, need });
-        // What it is sent while it is warm is no debt to be paid off once it is cold.
-        m.credit = (now, (credit - 1.0).max(0.0));
-        actions.push(Action::Send { request: id, endpoint: member, timeout: timeout.min(last - now) });
-    }
-
-    /// Whether an attempt that waited for its connection may still be written: data grows old meanwhile.
-    #[must_use]
-    pub fn still_eligible(&self, now: Timestamp, id: RequestId, member: &EndpointId) -> bool {
-        let Some((open, m)) = self.open.get(&id).zip(self.members.get(member)) else { return false };
-        let write = self.settings.classes[open.class].operation == Operation::Write;
-        m.group == open.group && (write || m.role() == PRIMARY || self.fit(m, self.need(now, open), now))
-    }
-
-    /// Whether a member may be sent anything new, as the list has it by now.
-    #[must_use]
-    pub fn accepts_new_work(&self, member: &EndpointId) -> bool {
-        self.members.get(member).is_some_and(|m| self.sendable(m))
-    }
-
-    pub(super) fn set_due(&mut self, id: RequestId, at: Timestamp) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        self.due.remove(&(open.due, id));
-        self.due.insert((at, id));
-        open.due = at;
-    }
-
-    /// The final answer to what is given up on, at once: a refusal where a retry does no harm.
-    pub(super) fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else { return };
-        let safe = self.settings.classes[open.class].idempotency == Idempotency::Idempotent;
-        if safe || (!open.may_have_run && now + SWEEP < open.deadline) {
-            let wait = self.pace[open.class].takes(0.0).max(LEAST_RETRY_AFTER);
-            let retry_after =
-                self.settings.retry_after_allowed.then(|| wait.min(self.settings.max_retry_after));
-            actions.push(Action::Reject { request: id, retry_after });
-        } else {
-            actions.push(Action::Fail { request: id });
-        }
-        self.drop_open(id, actions);
-    }
-
-    pub(super) fn drop_open(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<Open> {
-        let open = self.open.remove(&id)?;
-        self.due.remove(&(open.due, id));
-        // A group that nobody is listed in lasts no longer than what is asked of it.
-        if let Some(group) = self.groups.get_mut(&open.group) {
-            group.held.remove(&(open.arrived, id));
-            if group.members.is_empty() && group.held.is_empty() {
-                self.groups.remove(&open.group);
-            }
-        }
-        let out = open
-            .attempts
-            .iter()
-            .enumerate()
-            .filter(|(_, attempt)| attempt.open && self.settings.cancellation_allowed);
-        actions.extend(out.map(|(at, _)| Action::Cancel { request: id, attempt: AttemptNumber(at as u32) }));
-        Some(open)
-    }
-
-    pub(super) fn sweep(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        while let Some((_, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.look_over(now, id, actions);
-        }
-        if now - self.swept < SWEEP {
-            return;
-        }
-        self.swept = now;
-        actions.extend(self.ask_at.take_if(|at| now >= *at).map(|_| Action::Subscribe));
-        self.stirred.append(&mut self.waiting);
-        if self.tokens.len() > TOKENS {
-            let floor = self.members.values().filter(|m| self.sendable(m)).map(|m| m.position).min();
-            self.tokens.retain(|_, at| Some(*at) > floor);
-        }
+    /// Its identifier.
+    pub(super) fn id(&self) -> RequestId {
+        self.id
+    }
+
+    /// Its class.
+    pub(super) fn class(&self) -> ClassId {
+        self.class
+    }
+
+    /// Its tenant.
+    pub(super) fn tenant(&self) -> Option<TenantId> {
+        self.tenant
+    }
+
+    /// The group that holds its data.
+    pub(super) fn group(&self) -> GroupId {
+        self.group
+    }
+
+    /// Its session.
+    pub(super) fn session(&self) -> Option<SessionKey> {
+        self.session
+    }
+
+    /// The last commit of its session.
+    pub(super) fn session_token(&self) -> Option<Timestamp> {
+        self.session_token
+    }
+
+    /// When it arrived.
+    pub(super) fn arrived_at(&self) -> Timestamp {
+        self.arrived_at
+    }
+
+    /// Until when a response is worth the full priority weight.
+    pub(super) fn objective_at(&self) -> Timestamp {
+        self.objective_at
+    }
+
+    /// When the client gives up.
+    pub(super) fn deadline(&self) -> Timestamp {
+        self.deadline
+    }
+
+    /// Whether it has just arrived.
+    pub(super) fn is_new(&self, now: Timestamp) -> bool {
+        self.attempts.is_empty() && now == self.arrived_at
+    }
+
+    /// Whether it waited so long for its first dispatch that its client should rather retry elsewhere.
+    pub(super) fn has_queued_too_long(&self, now: Timestamp) -> bool {
+        let max_wait = (self.deadline - self.arrived_at).mul_f64(MAX_QUEUE_TIME);
+        self.attempts.is_empty() && now - self.arrived_at > max_wait
+    }
+
+    /// Whether there is still time to dispatch it.
+    pub(super) fn has_time_to_dispatch(&self, now: Timestamp) -> bool {
+        now + MIN_TIME_TO_DISPATCH < self.deadline
+    }
+
+    /// Whether some attempt may have run.
+    pub(super) fn may_have_run(&self) -> bool {
+        self.may_have_run
     }
 
-    /// A request past its deadline is ended; one that waits too long for its answer gets a hedge.
-    pub(super) fn look_over(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id).filter(|open| now < open.deadline) else {
-            self.give_up(now, id, actions);
-            return;
-        };
-        let spent = open.attempts.len() as u32 >= self.settings.max_attempts;
-        let twice = open.attempts.iter().filter(|attempt| attempt.open).count() > 1;
-        let hedge = !spent && !twice && self.retries >= 1.0 && now < open.aim && self.stalled != now;
-        let deadline = open.deadline;
-        self.set_due(id, deadline);
-        let to = if hedge { self.place_read(now, id, actions) } else { None };
-        let untried =
-            |open: &Open, to: &EndpointId| open.attempts.iter().all(|attempt| attempt.member != *to);
-        if let Some(to) = to.filter(|to| self.open.get(&id).is_some_and(|open| untried(open, to))) {
-            self.retries -= 1.0;
-            self.send(now, id, to, actions);
+    /// The number of attempts that were sent.
+    pub(super) fn attempt_count(&self) -> u32 {
+        self.attempts.len() as u32
+    }
+
+    /// The number of attempts in flight.
+    pub(super) fn in_flight_count(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.is_in_flight).count()
+    }
+
+    /// Whether any attempt is in flight.
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.is_in_flight)
+    }
+
+    /// The attempts in flight.
+    pub(super) fn in_flight_attempts(&self) -> impl Iterator<Item = AttemptNumber> {
+        let in_flight = self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight);
+        in_flight.map(|(index, _)| AttemptNumber(index as u32))
+    }
+
+    /// Whether an attempt was sent to this endpoint.
+    pub(super) fn has_tried(&self, endpoint: &EndpointId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.endpoint == *endpoint)
+    }
+
+    /// Whether so many endpoints returned errors that the request itself is at fault.
+    pub(super) fn is_at_fault(&self) -> bool {
+        self.attempts.iter().filter(|attempt| attempt.returned_error).count() >= MAX_ERRORS
+    }
+
+    /// The first endpoint that returned an error.
+    pub(super) fn first_erroring_endpoint(&self) -> Option<&EndpointId> {
+        self.attempts.iter().find(|attempt| attempt.returned_error).map(|attempt| &attempt.endpoint)
+    }
+
+    /// The number of attempts that proved that their endpoint is not a primary that is up.
+    pub(super) fn failed_primaries(&self) -> u32 {
+        self.failed_primaries
+    }
+
+    /// An attempt proved that its endpoint is not a primary that is up.
+    pub(super) fn record_failed_primary(&mut self) {
+        self.failed_primaries += 1;
+    }
+
+    /// An attempt is sent.
+    pub(super) fn start_attempt(&mut self, endpoint: EndpointId) -> AttemptNumber {
+        let number = AttemptNumber(self.attempt_count());
+        self.attempts.push(Attempt { endpoint, is_in_flight: true, returned_error: false });
+        number
+    }
+
+    /// An attempt ended.
+    pub(super) fn complete_attempt(&mut self, number: AttemptNumber, outcome: AttemptOutcome) {
+        if let Some(attempt) = self.attempts.get_mut(number.0 as usize) {
+            attempt.is_in_flight = false;
+            attempt.returned_error = outcome == AttemptOutcome::Error;
         }
+        self.may_have_run |= !outcome.never_ran();
     }
+}
+
+/// When a request is to be looked at.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledCheck {
+    at: Timestamp,
+    request: RequestId,
+}
+
+/// All requests that are owed their final response.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PendingRequests {
+    requests: BTreeMap<RequestId, PendingRequest>,
+    checks: BTreeSet<ScheduledCheck>,
+}
 
-    pub(super) fn release(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        for gid in std::mem::take(&mut self.stirred) {
-            let Some(group) = self.groups.get(&gid) else { continue };
-            let mut held: Vec<RequestId> = group.held.iter().map(|(_, id)| *id).collect();
-            held.sort_by_cached_key(|id| std::cmp::Reverse(self.merit(now, *id).to_bits()));
-            for id in held {
-                self.place(now, id, actions);
-            }
+impl PendingRequests {
+    /// Adds a request, to be looked at when its deadline passes.
+    pub(super) fn insert(&mut self, request: PendingRequest) {
+        self.checks.insert(ScheduledCheck { at: request.next_check_at, request: request.id });
+        self.requests.insert(request.id, request);
+    }
+
+    /// A request.
+    pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.requests.get(&id)
+    }
+
+    /// A request, to record its attempts.
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// Removes a request that has received its final response.
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let request = self.requests.remove(&id)?;
+        self.checks.remove(&ScheduledCheck { at: request.next_check_at, request: id });
+        Some(request)
+    }
+
+    /// Sets when a request is to be looked at.
+    pub(super) fn schedule_check(&mut self, id: RequestId, at: Timestamp) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        self.checks.remove(&ScheduledCheck { at: request.next_check_at, request: id });
+        self.checks.insert(ScheduledCheck { at, request: id });
+        request.next_check_at = at;
+    }
+
+    /// Has a request looked at when its deadline passes.
+    pub(super) fn schedule_check_at_deadline(&mut self, id: RequestId) {
+        if let Some(deadline) = self.get(id).map(PendingRequest::deadline) {
+            self.schedule_check(id, deadline);
         }
     }
+
+    /// When the first request is to be looked at.
+    pub(super) fn next_check_at(&self) -> Option<Timestamp> {
+        self.checks.first().map(|check| check.at)
+    }
+
+    /// The first request that is to be looked at by now.
+    pub(super) fn first_due(&self, now: Timestamp) -> Option<RequestId> {
+        self.checks.first().filter(|check| check.at <= now).map(|check| check.request)
+    }
 }
--- a/crates/routing/src/router/slow_start.rs
+++ b/crates/routing/src/router/slow_start.rs
@@ -1,86 +1,180 @@
-//! What a member that has just started may be sent, so that all routers together do not push it over.
-
-use super::Router;
-use super::shedding::part;
-use super::tuning::*;
-use crate::state::*;
-use crate::*;
-
-impl Router {
-    pub(super) fn warmth(&self, m: &Member, now: Timestamp) -> f64 {
-        let Some(since) = m.cold_since else { return 1.0 };
-        let span = self.settings.slow_start_window.0.max(1) as f64;
-        let share = self.settings.slow_start_floor;
-        (share + (1.0 - share) * (now - since).0 as f64 / span).clamp(share.clamp(0.01, 1.0), 1.0)
+//! Slow start: what an endpoint that has just started may be sent, so that all routers together do not
+//! overload it.
+
+use super::decaying::DecayingCount;
+use super::fleet_clock::FleetClock;
+use crate::{Settings, TimeDelta, Timestamp};
+
+/// The time whose tokens may be saved up.
+const TOKEN_BURST: TimeDelta = TimeDelta::from_millis(100);
+/// What an endpoint is able to serve, as a multiple of what it does serve while there is no overload. How
+/// busy an endpoint is remains unknown.
+const CAPACITY_HEADROOM: f64 = 1.2;
+/// What all routers together may send a warming endpoint in one overload window although nothing is known of
+/// its capacity. The endpoint survives three, and without any there would be no responses to learn from.
+const MIN_REQUESTS_PER_WINDOW: f64 = 1.5;
+/// The lowest warm-up fraction.
+const MIN_FRACTION: f64 = 0.01;
+/// How long responses count for the throughput.
+const THROUGHPUT_MEMORY: TimeDelta = TimeDelta::from_millis(7_000);
+/// The shortest time since its first response that the throughput of a router is estimated from.
+const MIN_OBSERVATION: TimeDelta = TimeDelta::from_millis(3_000);
+
+/// The responses of all endpoints to this router.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Throughput {
+    responses: DecayingCount,
+    first_response_at: Timestamp,
+}
+
+impl Default for Throughput {
+    fn default() -> Self {
+        Self { responses: DecayingCount::default(), first_response_at: Timestamp(i64::MAX) }
     }
+}
 
-    pub(super) fn room(&self, m: &Member, now: Timestamp) -> bool {
-        let cold = self.warmth(m, now) < 1.0 && self.credit(m, now) < 1.0;
-        now >= m.rested && self.in_work(m, now) < m.limit && !cold
+impl Throughput {
+    /// Records a success.
+    pub(super) fn record_success(&mut self, now: Timestamp) {
+        self.responses.increment(now, THROUGHPUT_MEMORY);
+        self.first_response_at = self.first_response_at.min(now);
     }
 
-    /// Own share of a cold member's budget: the multiple of what it surely can; saved up for little over one.
-    pub(super) fn credit(&self, m: &Member, now: Timestamp) -> f64 {
-        let usual = self.serves(now);
-        let jammed = part(&self.crowd[REPLICA], now, CROWD_IDLE) > HOPELESS_CROWD;
-        let can = usual * if jammed { 1.0 } else { SPARE };
-        // The budget is that of a whole window: it goes by how warm the member was at its beginning.
-        let warmth = self.warmth(m, now - self.settings.overload_window);
-        let window = self.settings.overload_window.0.max(1) as f64;
-        let least = LEAST_COLD_CALLS / window / f64::from(self.settings.router_count);
-        let rate = (can * self.settings.overload_multiple * warmth).max(least);
-        (m.credit.1 + rate * (now - m.credit.0).0 as f64).min(1.0 + rate * COLD_BURST)
+    /// What one of `in_service` endpoints is able to serve for this router, by what it does serve.
+    pub(super) fn capacity_per_endpoint(
+        &self,
+        now: Timestamp,
+        in_service: usize,
+        is_overloaded: bool,
+    ) -> RequestRate {
+        let observed = (now - self.first_response_at).max(MIN_OBSERVATION).0 as f64;
+        let memory = THROUGHPUT_MEMORY.0 as f64;
+        let effective_memory = memory * (1.0 - (-observed / memory).exp());
+        let responses = self.responses.value(now, THROUGHPUT_MEMORY);
+        let served = responses / effective_memory / in_service.max(1) as f64;
+        RequestRate(served * if is_overloaded { 1.0 } else { CAPACITY_HEADROOM })
     }
+}
 
-    /// What a member in service answers for this router in a microsecond, by a memory within its life.
-    pub(super) fn serves(&self, now: Timestamp) -> f64 {
-        let life = ((now - self.began).0 as f64).max(LEAST_LIFE);
-        let span = MEMORY * (1.0 - (-life / MEMORY).exp());
-        self.served.now(now, MEMORY)[1] / span / self.in_service.max(1.0)
+/// Requests per microsecond.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RequestRate(f64);
+
+impl RequestRate {
+    /// What this router may send a warming endpoint of this capacity.
+    fn of_warming_endpoint(capacity: Self, fraction: f64, settings: &Settings) -> Self {
+        let window = settings.overload_window.0.max(1) as f64;
+        let least = MIN_REQUESTS_PER_WINDOW / window / f64::from(settings.router_count);
+        Self((capacity.0 * settings.overload_multiple * fraction).max(least))
+    }
+
+    fn over(self, duration: TimeDelta) -> f64 {
+        self.0 * duration.0 as f64
     }
+}
 
-    /// Takes the start of a member as the list has it.
-    pub(super) fn listed_start(
+/// The tokens of an endpoint, each of which allows to send it one request while it warms up.
+#[derive(Clone, Copy, Debug, Default)]
+struct TokenBalance {
+    tokens: f64,
+    updated_at: Timestamp,
+}
+
+/// The warm-up of an endpoint.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct WarmUp {
+    /// When it last started by the endpoint list, on the fleet's clock.
+    listed_start: Option<Timestamp>,
+    /// When it last started, on the router's clock; `None` for long ago.
+    started_at: Option<Timestamp>,
+    /// `started_at` is when the list told of the start, since the clock was not confirmed then.
+    is_start_presumed: bool,
+    balance: TokenBalance,
+}
+
+impl WarmUp {
+    /// The fraction of its capacity that the endpoint has.
+    pub(super) fn fraction(&self, now: Timestamp, settings: &Settings) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let window = settings.slow_start_window.0.max(1) as f64;
+        let floor = settings.slow_start_floor;
+        let fraction = floor + (1.0 - floor) * (now - started_at).0 as f64 / window;
+        fraction.clamp(floor.clamp(MIN_FRACTION, 1.0), 1.0)
+    }
+
+    /// The tokens of this router, where a warm endpoint has this capacity.
+    pub(super) fn tokens(&self, now: Timestamp, capacity: RequestRate, settings: &Settings) -> f64 {
+        // An endpoint survives so much in a whole window: what counts is how warm it was when the window
+        // began.
+        let fraction = self.fraction(now - settings.overload_window, settings);
+        let rate = RequestRate::of_warming_endpoint(capacity, fraction, settings);
+        let earned = rate.over(now - self.balance.updated_at);
+        (self.balance.tokens + earned).min(1.0 + rate.over(TOKEN_BURST))
+    }
+
+    /// Takes one of the `available` tokens. Requests sent without one, to a warm endpoint, leave no debt.
+    pub(super) fn spend_token(&mut self, now: Timestamp, available: f64) {
+        self.balance = TokenBalance { tokens: (available - 1.0).max(0.0), updated_at: now };
+    }
+
+    /// The endpoint started at `started_at`, on the router's clock, and this router has so many tokens.
+    pub(super) fn restart(&mut self, now: Timestamp, started_at: Timestamp, tokens: f64) {
+        self.started_at = Some(started_at);
+        self.is_start_presumed = false;
+        self.balance = TokenBalance { tokens, updated_at: now };
+    }
+
+    /// Takes the start that the endpoint list shows, and returns whether it is a new one. With `is_recent`,
+    /// the list reported it as a change, so it was a moment ago; how long ago only a confirmed clock tells.
+    pub(super) fn observe_listed_start(
         &mut self,
         now: Timestamp,
-        id: &EndpointId,
-        started: Timestamp,
-        credit: f64,
-        first_list: bool,
-    ) {
-        let confirmed = self.clock.is_confirmed();
-        let dated = self.clock.own(started).min(now);
-        let Some(m) = self.members.get_mut(id).filter(|m| Some(started) > m.listed_start) else { return };
-        m.listed_start = Some(started);
-        // A change tells of a start a moment ago. How long ago, only a clock that is right can say.
-        let presumed = !confirmed && !first_list;
-        let since = if presumed { now } else { dated };
-        if m.cold_since.is_none_or(|before| since > before) {
-            m.start(now, since, credit);
-            m.start_presumed = presumed;
+        start: ListedStart,
+        clock: &FleetClock,
+    ) -> bool {
+        if Some(start.fleet_time) <= self.listed_start {
+            return false;
         }
+        self.listed_start = Some(start.fleet_time);
+        let is_presumed = !clock.is_confirmed() && start.is_recent;
+        let started_at = if is_presumed { now } else { clock.to_router_time(start.fleet_time).min(now) };
+        if !self.is_later_start(started_at) {
+            return false;
+        }
+        self.restart(now, started_at, start.initial_tokens);
+        self.is_start_presumed = is_presumed;
+        true
     }
 
-    /// Dates listed starts anew, after the clock was confirmed or corrected.
-    pub(super) fn redate_starts(&mut self, now: Timestamp) {
-        let clock = self.clock;
-        for m in self.members.values_mut() {
-            let Some(since) = m.listed_start.map(|started| clock.own(started).min(now)) else { continue };
-            if std::mem::take(&mut m.start_presumed) {
-                m.cold_since = Some(since);
-            } else if m.cold_since.is_none_or(|before| since > before) {
-                m.start(now, since, 0.0);
-            }
+    /// Dates the listed start anew after the clock was confirmed or corrected, and returns whether that makes
+    /// it a new one.
+    pub(super) fn redate_listed_start(&mut self, now: Timestamp, clock: &FleetClock) -> bool {
+        let Some(listed_start) = self.listed_start else { return false };
+        let started_at = clock.to_router_time(listed_start).min(now);
+        if std::mem::take(&mut self.is_start_presumed) {
+            self.started_at = Some(started_at);
+            return false;
+        }
+        if !self.is_later_start(started_at) {
+            return false;
         }
+        self.restart(now, started_at, 0.0);
+        true
     }
-}
 
-impl Member {
-    /// It has started, and is coldest at that moment of the router's own clock.
-    pub(super) fn start(&mut self, now: Timestamp, since: Timestamp, credit: f64) {
-        self.cold_since = Some(since);
-        self.start_presumed = false;
-        self.limit = LEAST_LIMIT;
-        self.credit = (now, credit);
+    fn is_later_start(&self, started_at: Timestamp) -> bool {
+        self.started_at.is_none_or(|known| started_at > known)
     }
 }
+
+/// A start that the endpoint list shows.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ListedStart {
+    /// When, on the fleet's clock.
+    pub(super) fleet_time: Timestamp,
+    /// It was reported as a change of the list, not in the first snapshot.
+    pub(super) is_recent: bool,
+    /// The tokens that this router has at the start. They are drawn at random, so that many routers with less
+    /// than one token each add up to the endpoint's budget.
+    pub(super) initial_tokens: f64,
+}
--- a/crates/routing/src/time.rs
+++ b/crates/routing/src/time.rs
@@ -2,8 +2,8 @@
 
 use std::ops::{Add, Sub};
 
-/// A moment on the host's monotonic clock, in microseconds since an epoch that the host chooses. It never goes
-/// backwards; only differences between timestamps carry meaning.
+/// A moment on the host's monotonic clock, in microseconds since an epoch that the host chooses. It never
+/// goes backwards; only differences between timestamps carry meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(pub i64);
 
@@ -26,7 +26,8 @@
         Self(milliseconds.saturating_mul(1_000))
     }
 
-    /// The difference multiplied by `factor`, rounded towards zero. A factor that is not finite counts as zero.
+    /// The difference multiplied by `factor`, rounded towards zero. A factor that is not finite counts as
+    /// zero.
     #[must_use]
     pub fn mul_f64(self, factor: f64) -> Self {
         let factor = if factor.is_finite() { factor } else { 0.0 };
@@ -68,3 +69,13 @@
         TimeDelta(self.0.saturating_sub(earlier.0))
     }
 }
+
+/// A duration in microseconds with a fractional part, as averages have one.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub(crate) struct Microseconds(pub(crate) f64);
+
+impl From<TimeDelta> for Microseconds {
+    fn from(delta: TimeDelta) -> Self {
+        Self(delta.0 as f64)
+    }
+}
