--- a/crates/routing/src/router/attempt_completion.rs
+++ b/crates/routing/src/router/attempt_completion.rs
@@ -1,46 +1,46 @@
 //! What the end of an attempt means for its request.
 
 use super::Router;
-use super::endpoint_outcomes::EndedAttempt;
+use super::endpoint_outcomes::CompletedAttempt;
 use super::in_flight::AttemptId;
 use super::outlier_detection::Failure;
 use crate::{Action, AttemptCompletion, AttemptOutcome, Operation, RequestId, ResponseMetadata, Timestamp};
 
 impl Router {
-    /// An attempt ended.
+    /// An attempt completed.
     pub(super) fn on_attempt_completed(
         &mut self,
         now: Timestamp,
         completion: &AttemptCompletion,
         actions: &mut Vec<Action>,
     ) {
-        let ended = self.end_attempt(now, completion);
+        let completed = self.complete_attempt(now, completion);
         if let Some(metadata) = completion.metadata {
-            self.record_metadata(now, &ended.endpoint, metadata, ended.elapsed, ended.is_write);
+            self.record_metadata(now, &completed.endpoint, metadata, completed.elapsed, completed.is_write);
         }
         if let Some(values) = &completion.load_report {
-            self.record_load_report(now, &ended.endpoint, values, ended.elapsed);
+            self.record_load_report(now, &completed.endpoint, values, completed.elapsed);
         }
-        self.record_outcome(now, &ended);
-        self.record_session_commit(now, &ended, completion.metadata);
+        self.record_outcome(now, &completed);
+        self.record_session_commit(now, &completed, completion.metadata);
         if let Some(request) = self.requests.get_mut(completion.request) {
-            request.complete_attempt(completion.attempt, ended.outcome);
-            self.record_errors_answered_elsewhere(now, completion.request, ended.outcome);
+            request.complete_attempt(completion.attempt, completed.outcome);
+            self.record_errors_answered_elsewhere(now, completion.request, completed.outcome);
             if completion.request_closed {
-                self.close_answered_request(now, completion.request, ended.outcome, actions);
+                self.close_answered_request(now, completion.request, completed.outcome, actions);
             } else {
-                self.continue_request(now, completion.request, &ended, actions);
+                self.continue_request(now, completion.request, &completed, actions);
             }
         }
     }
 
-    fn end_attempt(&mut self, now: Timestamp, completion: &AttemptCompletion) -> EndedAttempt {
+    fn complete_attempt(&mut self, now: Timestamp, completion: &AttemptCompletion) -> CompletedAttempt {
         let outcome = self.adjusted_outcome(now, completion);
         let id = AttemptId { request: completion.request, number: completion.attempt };
         let endpoint = self.endpoints.get_mut(&completion.endpoint);
         let attempt = endpoint.and_then(|endpoint| endpoint.work.finish(id));
         let operation = attempt.map(|attempt| self.settings.classes[attempt.class.0].operation);
-        EndedAttempt {
+        CompletedAttempt {
             endpoint: completion.endpoint.clone(),
             outcome,
             elapsed: completion.elapsed,
@@ -67,14 +67,14 @@
     fn record_session_commit(
         &mut self,
         now: Timestamp,
-        ended: &EndedAttempt,
+        completed: &CompletedAttempt,
         metadata: Option<ResponseMetadata>,
     ) {
-        if !ended.is_write || ended.outcome.never_ran() {
+        if !completed.is_write || completed.outcome.never_ran() {
             return;
         }
-        let Some(session) = ended.attempt.and_then(|attempt| attempt.session) else { return };
-        let is_success = ended.outcome == AttemptOutcome::Ok;
+        let Some(session) = completed.attempt.and_then(|attempt| attempt.session) else { return };
+        let is_success = completed.outcome == AttemptOutcome::Ok;
         let commit = metadata.filter(|_| is_success).and_then(|metadata| metadata.position);
         let commit = commit.unwrap_or(self.clock.to_fleet_time(now));
         self.session_tokens.record_commit(session, commit);
@@ -111,7 +111,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        ended: &EndedAttempt,
+        completed: &CompletedAttempt,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get(id) else { return };
@@ -122,9 +122,9 @@
             self.give_up(now, id, actions);
             return;
         }
-        if ended.is_write && ended.outcome.never_ran() {
-            self.record_unsent_write(now, id, ended);
-        } else if ended.outcome == AttemptOutcome::Timeout {
+        if completed.is_write && completed.outcome.never_ran() {
+            self.record_unsent_write(now, id, completed);
+        } else if completed.outcome == AttemptOutcome::Timeout {
             self.retry_budget.withdraw();
         }
         self.requests.schedule_check_at_deadline(id);
@@ -133,9 +133,9 @@
 
     /// A write provably did not run. Unless it was not sent, or rejected for lack of capacity, that shows
     /// that its endpoint is not a primary that is up.
-    fn record_unsent_write(&mut self, now: Timestamp, id: RequestId, ended: &EndedAttempt) {
+    fn record_unsent_write(&mut self, now: Timestamp, id: RequestId, completed: &CompletedAttempt) {
         if matches!(
-            ended.outcome,
+            completed.outcome,
             AttemptOutcome::Rejected | AttemptOutcome::NotSent | AttemptOutcome::ConnectionLostBeforeSend
         ) {
             return;
@@ -143,10 +143,10 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         request.record_failed_primary();
         let group_id = request.group();
-        let next = self.view(now).next_candidate(group_id, Some(&ended.endpoint));
+        let next = self.view(now).next_candidate(group_id, Some(&completed.endpoint));
         let next = next.map(|endpoint| endpoint.id().clone());
         if let Some(group) = self.endpoints.group_mut(group_id) {
-            group.primary.disprove(&ended.endpoint, next);
+            group.primary.disprove(&completed.endpoint, next);
         }
     }
 }
--- a/crates/routing/src/router/cluster_view.rs
+++ b/crates/routing/src/router/cluster_view.rs
@@ -1,5 +1,5 @@
-//! What can be said of the endpoints at one moment where that takes several parts together. Nothing is
-//! changed here.
+//! A read-only view of a router's parts at one moment, for questions about endpoints that need several of
+//! them.
 
 use super::demand::Demand;
 use super::endpoints::{Endpoint, Endpoints};
--- a/crates/routing/src/router/concurrency.rs
+++ b/crates/routing/src/router/concurrency.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records a sign of overload. The limit is lowered at most once per response time: responses to attempts
-    /// that were sent before it was lowered tell of the same overload.
+    /// that were sent before it was lowered are signs of the same overload.
     pub(super) fn lower(&mut self, now: Timestamp, elapsed: TimeDelta, work: f64) {
         if now - elapsed >= self.limit_lowered_at {
             self.limit = (self.limit.min(work + 1.0) * DECREASE_FACTOR).max(MIN_LIMIT);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Pauses after a rejection: the endpoint is at its capacity, or draining, of which discovery tells late.
+    /// Pauses after a rejection: the endpoint is at its capacity, or draining, which discovery reports late.
     /// The pause lasts as long as a usual response takes, and longer with each rejected write in a row, or
     /// all the attempts of a write would be used up within one drain.
     pub(super) fn back_off(&mut self, now: Timestamp, usual_latency: Option<TimeDelta>, is_write: bool) {
--- a/crates/routing/src/router/endpoint_outcomes.rs
+++ b/crates/routing/src/router/endpoint_outcomes.rs
@@ -13,11 +13,11 @@
 /// The fraction of the objective within which an endpoint that is not overloaded responds; 0.6 was tried.
 const GOOD_TIME: f64 = 0.4;
 
-/// An attempt or a health check that ended.
-pub(super) struct EndedAttempt {
+/// An attempt or a health check that completed.
+pub(super) struct CompletedAttempt {
     /// Where it was sent.
     pub(super) endpoint: EndpointId,
-    /// How it ended.
+    /// How it completed.
     pub(super) outcome: AttemptOutcome,
     /// The time since it was sent.
     pub(super) elapsed: TimeDelta,
@@ -27,14 +27,14 @@
     pub(super) is_write: bool,
 }
 
-/// The endpoint as it was when the attempt ended.
+/// The endpoint as it was when the attempt completed.
 struct OutcomeContext {
     group: GroupId,
     role: Role,
     /// Its other work.
     work: f64,
     slow_start_tokens: f64,
-    /// The attempt got lost while later ones were answered, which says nothing of how the endpoint does.
+    /// The attempt got lost while later ones were answered, which says nothing about the endpoint.
     was_overtaken: bool,
     /// It responded to other attempts since this one was sent.
     has_responded_meanwhile: bool,
@@ -45,8 +45,8 @@
 }
 
 impl Router {
-    /// A health check ended. A response is no sign that attempts are answered: it bypasses the queue of an
-    /// endpoint that hangs.
+    /// A health check completed. A success does not show that attempts are answered: it bypasses the queue of
+    /// an endpoint that hangs.
     pub(super) fn on_health_check_completed(
         &mut self,
         now: Timestamp,
@@ -59,42 +59,42 @@
             self.record_load_report(now, &endpoint, values, elapsed);
         }
         if matches!(outcome, AttemptOutcome::ConnectionRefused | AttemptOutcome::ConnectTimeout) {
-            let ended = EndedAttempt { endpoint, outcome, elapsed, attempt: None, is_write: false };
-            self.record_outcome(now, &ended);
+            let completed = CompletedAttempt { endpoint, outcome, elapsed, attempt: None, is_write: false };
+            self.record_outcome(now, &completed);
         }
     }
 
     /// Records how an attempt or a health check ended at its endpoint.
-    pub(super) fn record_outcome(&mut self, now: Timestamp, ended: &EndedAttempt) {
-        let Some(context) = self.view(now).outcome_context(ended) else { return };
+    pub(super) fn record_outcome(&mut self, now: Timestamp, completed: &CompletedAttempt) {
+        let Some(context) = self.view(now).outcome_context(completed) else { return };
         self.queue_schedule.retry(context.group);
-        // What became overdue or was closed while this router itself stalled tells nothing of the endpoint.
-        let is_lost = matches!(ended.outcome, AttemptOutcome::Timeout | AttemptOutcome::ConnectionReset);
+        // What became overdue or was closed while this router itself stalled says nothing about the endpoint.
+        let is_lost = matches!(completed.outcome, AttemptOutcome::Timeout | AttemptOutcome::ConnectionReset);
         if self.timers.has_stalled(now) && is_lost {
             return;
         }
         let chance = self.random.unit_interval();
-        self.record_work(now, ended, &context);
-        match ended.outcome {
-            AttemptOutcome::Ok => self.record_success(now, ended, &context),
-            AttemptOutcome::Timeout => self.record_timeout(now, ended, &context),
+        self.record_work(now, completed, &context);
+        match completed.outcome {
+            AttemptOutcome::Ok => self.record_success(now, completed, &context),
+            AttemptOutcome::Timeout => self.record_timeout(now, completed, &context),
             AttemptOutcome::ConnectionReset | AttemptOutcome::ConnectionLostBeforeSend => {
-                self.record_failure(now, ended, Failure::LostResponse);
+                self.record_failure(now, completed, Failure::LostResponse);
             }
-            AttemptOutcome::ConnectionRefused => self.record_refused(now, ended, &context, chance),
-            AttemptOutcome::ConnectTimeout => self.record_unreachable(now, ended),
-            AttemptOutcome::Rejected => self.record_rejection(now, ended, &context),
-            AttemptOutcome::NotEligible => self.record_not_eligible(now, ended),
-            // An error speaks against the endpoint only if another one answers the same request.
+            AttemptOutcome::ConnectionRefused => self.record_refused(now, completed, &context, chance),
+            AttemptOutcome::ConnectTimeout => self.record_unreachable(now, completed),
+            AttemptOutcome::Rejected => self.record_rejection(now, completed, &context),
+            AttemptOutcome::NotEligible => self.record_not_eligible(now, completed),
+            // An error is a failure of the endpoint only if another one answers the same request.
             AttemptOutcome::Error | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
-        self.record_latency(now, ended, &context);
-        self.record_overload(now, ended, &context);
+        self.record_latency(now, completed, &context);
+        self.record_overload(now, completed, &context);
     }
 
-    fn record_work(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
-        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
-        match ended.outcome {
+    fn record_work(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
+        let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) else { return };
+        match completed.outcome {
             AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::NotEligible => {
                 endpoint.work.record_response(now);
             }
@@ -108,14 +108,14 @@
         }
     }
 
-    fn record_success(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+    fn record_success(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
         self.throughput.record_success(now);
         let present = self.clock.to_fleet_time(now);
-        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
-        endpoint.concurrency.record_success(now, ended.elapsed, context.work, context.is_late);
+        let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) else { return };
+        endpoint.concurrency.record_success(now, completed.elapsed, context.work, context.is_late);
         endpoint.failures.record_success();
-        endpoint.work.record_success(now - ended.elapsed);
-        let required_position = ended.attempt.and_then(|attempt| attempt.required_position);
+        endpoint.work.record_success(now - completed.elapsed);
+        let required_position = completed.attempt.and_then(|attempt| attempt.required_position);
         if self.settings.stale_read_policy == StaleReadPolicy::Reject
             && let Some(required_position) = required_position
         {
@@ -123,16 +123,16 @@
         }
     }
 
-    fn record_timeout(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
+    fn record_timeout(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
         if context.was_overtaken {
             return;
         }
         // An endpoint that responded to others meanwhile is overloaded, not down: ejecting for that would
         // eject all.
         if !context.has_responded_meanwhile {
-            self.record_failure(now, ended, Failure::LostResponse);
-        } else if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
-            endpoint.concurrency.lower(now, ended.elapsed, context.work);
+            self.record_failure(now, completed, Failure::LostResponse);
+        } else if let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) {
+            endpoint.concurrency.lower(now, completed.elapsed, context.work);
         }
     }
 
@@ -140,75 +140,75 @@
     fn record_refused(
         &mut self,
         now: Timestamp,
-        ended: &EndedAttempt,
+        completed: &CompletedAttempt,
         context: &OutcomeContext,
         chance: f64,
     ) {
-        self.record_failure(now, ended, Failure::NoConnection);
-        if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
+        self.record_failure(now, completed, Failure::NoConnection);
+        if let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) {
             endpoint.restart(now, context.slow_start_tokens.min(chance));
         }
     }
 
     /// The endpoint is silent or cut off, not restarted. Until the endpoint list shows more, few attempts
     /// show what it can do.
-    fn record_unreachable(&mut self, now: Timestamp, ended: &EndedAttempt) {
-        self.record_failure(now, ended, Failure::NoConnection);
-        if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
+    fn record_unreachable(&mut self, now: Timestamp, completed: &CompletedAttempt) {
+        self.record_failure(now, completed, Failure::NoConnection);
+        if let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) {
             endpoint.concurrency.reset();
         }
     }
 
-    fn record_rejection(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
-        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
+    fn record_rejection(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
+        let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) else { return };
         let usual_latency = context.usual.map(|usual| usual.typical());
-        endpoint.concurrency.lower(now, ended.elapsed, context.work);
-        endpoint.concurrency.back_off(now, usual_latency, ended.is_write);
+        endpoint.concurrency.lower(now, completed.elapsed, context.work);
+        endpoint.concurrency.back_off(now, usual_latency, completed.is_write);
     }
 
-    fn record_not_eligible(&mut self, now: Timestamp, ended: &EndedAttempt) {
+    fn record_not_eligible(&mut self, now: Timestamp, completed: &CompletedAttempt) {
         let present = self.clock.to_fleet_time(now);
-        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
-        if let Some(required_position) = ended.attempt.and_then(|attempt| attempt.required_position) {
+        let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) else { return };
+        if let Some(required_position) = completed.attempt.and_then(|attempt| attempt.required_position) {
             endpoint.freshness.record_rejected_read(now, required_position);
         }
-        if ended.is_write {
+        if completed.is_write {
             endpoint.role_evidence.observe_replica_response(present);
         }
     }
 
-    fn record_failure(&mut self, now: Timestamp, ended: &EndedAttempt, failure: Failure) {
-        let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) else { return };
+    fn record_failure(&mut self, now: Timestamp, completed: &CompletedAttempt, failure: Failure) {
+        let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) else { return };
         if endpoint.failures.record_failure(now, failure) {
             let until = endpoint.failures.ejected_until();
-            let (id, outcome) = (&ended.endpoint.0, ended.outcome);
+            let (id, outcome) = (&completed.endpoint.0, completed.outcome);
             self.log.set(format!("{id} ejected until {} us: {outcome:?}", until.0));
         }
     }
 
-    fn record_latency(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
-        let Some((attempt, usual)) = ended.attempt.zip(context.usual) else { return };
-        let tells_latency = match ended.outcome {
+    fn record_latency(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
+        let Some((attempt, usual)) = completed.attempt.zip(context.usual) else { return };
+        let shows_latency = match completed.outcome {
             AttemptOutcome::Ok => true,
             AttemptOutcome::Timeout => {
-                !context.was_overtaken && Microseconds::from(ended.elapsed) >= usual.mean()
+                !context.was_overtaken && Microseconds::from(completed.elapsed) >= usual.mean()
             }
             _ => false,
         };
-        if !tells_latency {
+        if !shows_latency {
             return;
         }
-        if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
-            endpoint.slowness.observe(now, ended.elapsed, &usual);
+        if let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) {
+            endpoint.slowness.observe(now, completed.elapsed, &usual);
         }
-        self.latency.observe(attempt.class, ended.elapsed);
+        self.latency.observe(attempt.class, completed.elapsed);
     }
 
-    fn record_overload(&mut self, now: Timestamp, ended: &EndedAttempt, context: &OutcomeContext) {
-        if ended.attempt.is_none() {
+    fn record_overload(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
+        if completed.attempt.is_none() {
             return;
         }
-        let sample = match ended.outcome {
+        let sample = match completed.outcome {
             AttemptOutcome::Ok | AttemptOutcome::Rejected => OverloadSample::response(context.is_late),
             AttemptOutcome::Timeout => {
                 let ratio = self.view(now).overload_ratio(context.group, context.role);
@@ -224,8 +224,8 @@
 }
 
 impl ClusterView<'_> {
-    fn outcome_context(&self, ended: &EndedAttempt) -> Option<OutcomeContext> {
-        let endpoint = self.endpoints.get(&ended.endpoint)?;
+    fn outcome_context(&self, completed: &CompletedAttempt) -> Option<OutcomeContext> {
+        let endpoint = self.endpoints.get(&completed.endpoint)?;
         let work = &endpoint.work;
         let was_overtaken = |attempt| work.was_overtaken(attempt, self.now, self.latency);
         Some(OutcomeContext {
@@ -233,19 +233,19 @@
             role: endpoint.role(),
             work: self.work_of(endpoint),
             slow_start_tokens: self.slow_start_tokens(endpoint),
-            was_overtaken: ended.attempt.as_ref().is_some_and(was_overtaken),
-            has_responded_meanwhile: work.has_responded_since(self.now - ended.elapsed),
-            usual: ended.attempt.map(|attempt| *self.latency.of(attempt.class)),
-            is_late: self.is_late(ended),
+            was_overtaken: completed.attempt.as_ref().is_some_and(was_overtaken),
+            has_responded_meanwhile: work.has_responded_since(self.now - completed.elapsed),
+            usual: completed.attempt.map(|attempt| *self.latency.of(attempt.class)),
+            is_late: self.is_late(completed),
         })
     }
 
-    fn is_late(&self, ended: &EndedAttempt) -> bool {
-        let class = ended.attempt.map(|attempt| &self.settings.classes[attempt.class.0]);
+    fn is_late(&self, completed: &CompletedAttempt) -> bool {
+        let class = completed.attempt.map(|attempt| &self.settings.classes[attempt.class.0]);
         let objective = class.map_or(TimeDelta::ZERO, |class| class.latency_objective);
-        match ended.outcome {
+        match completed.outcome {
             AttemptOutcome::Rejected => true,
-            AttemptOutcome::Ok => ended.elapsed > objective.mul_f64(GOOD_TIME),
+            AttemptOutcome::Ok => completed.elapsed > objective.mul_f64(GOOD_TIME),
             _ => false,
         }
     }
--- a/crates/routing/src/router/endpoint_reports.rs
+++ b/crates/routing/src/router/endpoint_reports.rs
@@ -2,15 +2,11 @@
 //! reports and health checks.
 
 use super::Router;
-use super::load_balancing::LISTED_PRIMARY_TIMEOUT;
 use super::load_report::LoadReport;
-use crate::{Action, EndpointId, GroupId, ResponseMetadata, Role, TimeDelta, Timestamp};
-
-/// The shortest interval between two health checks of a search.
-const MIN_SEARCH_INTERVAL: TimeDelta = TimeDelta(1);
+use crate::{EndpointId, ResponseMetadata, Role, TimeDelta, Timestamp};
 
 impl Router {
-    /// Takes what a response, to an attempt sent `elapsed` ago, tells of its endpoint.
+    /// Records the metadata of a response to an attempt that was sent `elapsed` ago.
     pub(super) fn record_metadata(
         &mut self,
         now: Timestamp,
@@ -43,7 +39,7 @@
         }
     }
 
-    /// Takes the position of a response into the fleet's clock, and returns it if it is valid.
+    /// Updates the fleet's clock from the position in a response, and returns the position if it is valid.
     fn record_position(
         &mut self,
         now: Timestamp,
@@ -62,7 +58,7 @@
         position
     }
 
-    /// Takes a load report that came in response to something sent `elapsed` ago.
+    /// Records a load report from the response to an attempt or a health check that was sent `elapsed` ago.
     pub(super) fn record_load_report(
         &mut self,
         now: Timestamp,
@@ -124,41 +120,4 @@
             group.primary.mark_found();
         }
     }
-
-    /// Searches for a group's primary. A router that knows nothing of the group checks the listed primary
-    /// first, which is seldom wrong.
-    pub(super) fn search_primary(&mut self, now: Timestamp, group: GroupId, actions: &mut Vec<Action>) {
-        let view = self.view(now);
-        let Some(known_group) = self.endpoints.group(group) else { return };
-        let listed = view.unheard_listed_primary(known_group).map(|endpoint| endpoint.id().clone());
-        if let Some(listed) = listed {
-            self.send_health_checks(now, &[listed], LISTED_PRIMARY_TIMEOUT, actions);
-            return;
-        }
-        let (router_count, soft_removal) = (self.settings.router_count, self.settings.soft_removal);
-        let due = self.endpoints.continue_primary_search(now, group, router_count, soft_removal);
-        self.send_health_checks(now, &due, MIN_SEARCH_INTERVAL, actions);
-    }
-
-    /// Sends health checks to the endpoints that were sent none for `interval`, where health checks are
-    /// allowed.
-    pub(super) fn send_health_checks(
-        &mut self,
-        now: Timestamp,
-        endpoints: &[EndpointId],
-        interval: TimeDelta,
-        actions: &mut Vec<Action>,
-    ) {
-        if !self.settings.health_checks_allowed {
-            return;
-        }
-        for id in endpoints {
-            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
-            let is_due = now - endpoint.health_checked_at() >= interval;
-            if is_due && endpoint.accepts_new_work(self.settings.soft_removal) {
-                actions.push(Action::HealthCheck { endpoint: id.clone() });
-                endpoint.record_health_check(now);
-            }
-        }
-    }
 }
--- /dev/null
+++ b/crates/routing/src/router/endpoint_selection.rs
@@ -0,0 +1,71 @@
+//! Selecting the endpoint of a request, with the health checks that this calls for.
+
+use super::Router;
+use super::load_balancing::ReadRandomness;
+use crate::{Action, Consistency, EndpointId, Operation, RequestId, StaleReadPolicy, TimeDelta, Timestamp};
+
+impl Router {
+    /// Selects the endpoint for a read, and sends the health checks that it calls for.
+    pub(super) fn select_for_read(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> Option<EndpointId> {
+        let index_seed = self.random.index_seed();
+        let randomness = ReadRandomness { index_seed, chance: self.random.unit_interval() };
+        let trusts_clock = self.trusts_clock(now, id);
+        let request = self.requests.get(id)?;
+        let group = request.group();
+        let budget = &self.health_check_budget;
+        let selection = self.view(now).select_for_read(request, randomness, trusts_clock, budget)?;
+        self.health_check_budget.withdraw(selection.health_checks.len());
+        self.send_health_checks(now, &selection.health_checks, TimeDelta::ZERO, actions);
+        if selection.endpoint.is_none() && self.view(now).shown_primary(group).is_none() {
+            self.search_primary(now, group, actions);
+        }
+        selection.endpoint
+    }
+
+    /// Whether the age of data can be determined for this request. A router that has just started knows the
+    /// present by its own clock alone; it gives a listed primary, which it health-checks anyway, a moment to
+    /// confirm it.
+    fn trusts_clock(&mut self, now: Timestamp, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(id) else { return true };
+        let view = self.view(now);
+        let is_bounded =
+            matches!(view.operation_of(request), Operation::Read(Consistency::BoundedStaleness(_)));
+        let sends_health_checks =
+            self.settings.health_checks_allowed && self.settings.stale_read_policy == StaleReadPolicy::Serve;
+        if !is_bounded || !sends_health_checks || self.clock.is_confirmed() {
+            return true;
+        }
+        !view.has_listed_primary(request.group()) || self.clock.has_awaited_confirmation(now)
+    }
+
+    /// Selects the believed primary, unless it may be the wrong one. Then the write waits for one to be
+    /// shown.
+    pub(super) fn select_for_write(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> Option<EndpointId> {
+        let request = self.requests.get(id)?;
+        let group_id = request.group();
+        let selection = self.view(now).select_for_write(request)?;
+        let believed = &mut self.endpoints.group_mut(group_id)?.primary;
+        believed.believe(selection.primary.clone());
+        if selection.has_exhausted_candidates {
+            believed.mark_unknown();
+        }
+        let is_unknown = believed.is_unknown();
+        let view = self.view(now);
+        let primary = self.endpoints.get(&selection.primary)?;
+        if !selection.is_shown && (is_unknown || view.is_suspect(primary)) {
+            self.search_primary(now, group_id, actions);
+            return None;
+        }
+        view.has_room(primary).then_some(selection.primary)
+    }
+}
--- a/crates/routing/src/router/endpoint_updates.rs
+++ b/crates/routing/src/router/endpoint_updates.rs
@@ -1,11 +1,10 @@
-//! Updates of the endpoint list. They are the weakest evidence: they tell the endpoints, drains and starts,
-//! but only suggest a primary.
+//! Updates of the endpoint list. They name the endpoints, their drains and starts. Of the primary they are
+//! only a hint, weaker than what endpoints report themselves.
 
 use super::Router;
 use super::concurrency::ConcurrencyLimit;
 use super::slow_start::ListedStart;
 use crate::{EndpointEntry, EndpointUpdate, Timestamp};
-use std::collections::BTreeSet;
 
 impl Router {
     /// The endpoint list changed.
@@ -14,7 +13,7 @@
             EndpointUpdate::Snapshot(entries) => {
                 let listed = entries.iter().map(|entry| entry.endpoint.clone()).collect();
                 self.update_endpoints(now, &entries);
-                self.remove_unlisted(&listed);
+                self.endpoints.remove_unlisted(&listed);
             }
             EndpointUpdate::Delta(entries) => self.update_endpoints(now, &entries),
             EndpointUpdate::PollFailed => self.timers.retry_poll(now),
@@ -35,8 +34,4 @@
             }
         }
     }
-
-    fn remove_unlisted(&mut self, listed: &BTreeSet<crate::EndpointId>) {
-        self.endpoints.remove_unlisted(listed);
-    }
 }
--- a/crates/routing/src/router/endpoints.rs
+++ b/crates/routing/src/router/endpoints.rs
@@ -97,7 +97,7 @@
         self.concurrency.reset();
     }
 
-    /// Takes the start that the endpoint list shows.
+    /// Records the start that the endpoint list shows.
     pub(super) fn observe_listed_start(&mut self, now: Timestamp, start: ListedStart, clock: &FleetClock) {
         if self.warm_up.observe_listed_start(now, start, clock) {
             self.concurrency.reset();
@@ -201,7 +201,8 @@
         self.active_count
     }
 
-    /// Takes an entry of the endpoint list; `initial_limit` is that of an endpoint not known before.
+    /// Adds or updates the endpoint of an entry of the endpoint list; `initial_limit` is that of an endpoint
+    /// not known before.
     pub(super) fn upsert(&mut self, entry: &EndpointEntry, initial_limit: ConcurrencyLimit) -> &mut Endpoint {
         self.groups.entry(entry.group).or_default().endpoints.insert(entry.endpoint.clone());
         let new = || Endpoint::new(entry.endpoint.clone(), entry.group, initial_limit);
@@ -217,7 +218,7 @@
         endpoint
     }
 
-    /// Takes a snapshot of the endpoint list: what it does not list is removed.
+    /// Removes from service the endpoints that a snapshot of the endpoint list does not contain.
     pub(super) fn remove_unlisted(&mut self, listed: &BTreeSet<EndpointId>) {
         for endpoint in self.endpoints.values_mut().filter(|endpoint| !listed.contains(&endpoint.id)) {
             update_lifecycle(endpoint, Lifecycle::Removed, &mut self.active_count);
--- a/crates/routing/src/router/fleet_clock.rs
+++ b/crates/routing/src/router/fleet_clock.rs
@@ -1,6 +1,6 @@
 //! The fleet's clock, on which log positions, commits and starts are dated. The router's own clock measures
-//! durations; what it is set to may be off by seconds or by an hour, which shows only where endpoints tell
-//! the present.
+//! durations; what it is set to may be off by seconds or by an hour, which shows only in the times that
+//! endpoints report.
 
 use crate::{TimeDelta, Timestamp};
 
@@ -11,12 +11,12 @@
 /// How long a router that has just started waits for a primary to confirm its clock.
 const MAX_CONFIRMATION_WAIT: TimeDelta = TimeDelta::from_millis(100);
 
-/// The fleet's time, estimated from the router's clock and from what endpoints told.
+/// The fleet's time, estimated from the router's clock and from what endpoints report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetClock {
     /// How far the fleet's clock is ahead of the router's.
     offset: TimeDelta,
-    /// The latest position that any endpoint told.
+    /// The latest position that any endpoint reported.
     latest_position: Timestamp,
     /// Whether a primary agreed with it.
     is_confirmed: bool,
--- a/crates/routing/src/router/freshness.rs
+++ b/crates/routing/src/router/freshness.rs
@@ -7,7 +7,8 @@
 
 /// How long a rejected read, or an observed replication lag, counts against an endpoint.
 pub(super) const LAG_MEMORY: TimeDelta = TimeDelta::from_millis(1_000);
-/// After how long a report of an old position is news, as it shows that the endpoint still lags.
+/// After how long a report of an old position is taken as a new observation, as it shows that the endpoint
+/// still lags.
 const MAX_OBSERVATION_AGE: TimeDelta = TimeDelta::from_millis(500);
 /// How soon an endpoint that may have caught up by now is health-checked again: reads come within a second of
 /// their session's writes.
@@ -50,13 +51,13 @@
         self.position
     }
 
-    /// A response told its position.
+    /// Records the position from a response.
     pub(super) fn observe_response(&mut self, now: Timestamp, position: Timestamp) {
         self.raise_position(position);
         self.observed_at = now;
     }
 
-    /// A load report told its position, which may be old.
+    /// Records the position from a load report, which may be old.
     pub(super) fn observe_report(&mut self, now: Timestamp, position: Timestamp) {
         if position > self.position || now - self.observed_at > MAX_OBSERVATION_AGE {
             self.observed_at = now;
--- /dev/null
+++ b/crates/routing/src/router/health_checks.rs
@@ -0,0 +1,47 @@
+//! Health checks: the search for a group's primary, and checks of positions.
+
+use super::Router;
+use super::load_balancing::LISTED_PRIMARY_TIMEOUT;
+use crate::{Action, EndpointId, GroupId, TimeDelta, Timestamp};
+
+/// The shortest interval between two health checks of a search.
+const MIN_SEARCH_INTERVAL: TimeDelta = TimeDelta(1);
+
+impl Router {
+    /// Searches for a group's primary. A router that knows nothing of the group checks the listed primary
+    /// first, which is seldom wrong.
+    pub(super) fn search_primary(&mut self, now: Timestamp, group: GroupId, actions: &mut Vec<Action>) {
+        let view = self.view(now);
+        let Some(known_group) = self.endpoints.group(group) else { return };
+        let listed = view.unheard_listed_primary(known_group).map(|endpoint| endpoint.id().clone());
+        if let Some(listed) = listed {
+            self.send_health_checks(now, &[listed], LISTED_PRIMARY_TIMEOUT, actions);
+            return;
+        }
+        let (router_count, soft_removal) = (self.settings.router_count, self.settings.soft_removal);
+        let due = self.endpoints.continue_primary_search(now, group, router_count, soft_removal);
+        self.send_health_checks(now, &due, MIN_SEARCH_INTERVAL, actions);
+    }
+
+    /// Sends health checks to the endpoints that were sent none for `interval`, where health checks are
+    /// allowed.
+    pub(super) fn send_health_checks(
+        &mut self,
+        now: Timestamp,
+        endpoints: &[EndpointId],
+        interval: TimeDelta,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.settings.health_checks_allowed {
+            return;
+        }
+        for id in endpoints {
+            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
+            let is_due = now - endpoint.health_checked_at() >= interval;
+            if is_due && endpoint.accepts_new_work(self.settings.soft_removal) {
+                actions.push(Action::HealthCheck { endpoint: id.clone() });
+                endpoint.record_health_check(now);
+            }
+        }
+    }
+}
--- a/crates/routing/src/router/latency.rs
+++ b/crates/routing/src/router/latency.rs
@@ -91,7 +91,7 @@
         &self.by_class[class.0]
     }
 
-    /// Takes the latency of a response into account.
+    /// Updates the estimate with the latency of a response.
     pub(super) fn observe(&mut self, class: ClassId, latency: TimeDelta) {
         self.by_class[class.0].observe(latency.into());
     }
@@ -118,7 +118,7 @@
         1.0 + (self.factor - 1.0) * known
     }
 
-    /// Takes the latency of a response into account.
+    /// Updates the estimate with the latency of a response.
     pub(super) fn observe(&mut self, now: Timestamp, latency: TimeDelta, usual: &LatencyEstimate) {
         let Microseconds(latency) = latency.into();
         let kept = self.factor(now) * SLOWNESS_RETENTION;
--- a/crates/routing/src/router/load_balancing.rs
+++ b/crates/routing/src/router/load_balancing.rs
@@ -250,6 +250,13 @@
         after.or_else(|| usable.next())
     }
 
+    /// Whether a group has a listed primary that may be sent anything.
+    pub(super) fn has_listed_primary(&self, group: GroupId) -> bool {
+        let Some(group) = self.endpoints.group(group) else { return false };
+        let mut endpoints = self.endpoints.in_group(group);
+        endpoints.any(|endpoint| endpoint.is_listed_primary() && self.accepts_new_work(endpoint))
+    }
+
     /// The listed primary of a group, while nothing else is known of it and it may still respond to its first
     /// health check.
     pub(super) fn unheard_listed_primary(&self, group: &'a Group) -> Option<&'a Endpoint> {
--- a/crates/routing/src/router/load_report.rs
+++ b/crates/routing/src/router/load_report.rs
@@ -1,4 +1,4 @@
-//! What a load report tells of its endpoint.
+//! Decoding of load reports.
 
 use crate::{LoadReportField, Role, Settings, TimeDelta, Timestamp};
 
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -8,7 +8,7 @@
 //!   primary is.
 //! - `in_flight`, `latency`, `outlier_detection`, `concurrency`, `slow_start`: how an endpoint does, and what
 //!   it may be sent.
-//! - `overload`, `demand`, `retry_budget`: what the fleet can take, and what it is asked for.
+//! - `overload`, `demand`, `retry_budget`: the fleet's capacity and the demand for it.
 //! - `requests`, `queue`, `timers`: the requests, and when each must be looked at.
 //!
 //! `cluster_view`, `load_balancing` and `load_shedding` combine parts to answer questions, and change
@@ -16,6 +16,7 @@
 //! parts' methods.
 
 mod attempt_completion;
+mod attempt_plan;
 mod cluster_view;
 mod concurrency;
 mod deadlines;
@@ -24,10 +25,13 @@
 mod dispatch;
 mod endpoint_outcomes;
 mod endpoint_reports;
+mod endpoint_selection;
 mod endpoint_updates;
 mod endpoints;
+mod final_response;
 mod fleet_clock;
 mod freshness;
+mod health_checks;
 mod in_flight;
 mod latency;
 mod load_balancing;
@@ -67,7 +71,7 @@
     random: RandomSource,
     clock: FleetClock,
     endpoints: Endpoints,
-    /// The endpoint list was told once; what comes after it are changes.
+    /// A first endpoint list was received; later updates are changes of it.
     has_endpoint_list: bool,
     requests: PendingRequests,
     queue_schedule: QueueSchedule,
--- a/crates/routing/src/router/outlier_detection.rs
+++ b/crates/routing/src/router/outlier_detection.rs
@@ -15,10 +15,10 @@
 /// By how much a score of 1 multiplies the load that an endpoint is seen to have, less one.
 const LOAD_PER_SCORE: f64 = 4.0;
 
-/// What speaks against an endpoint.
+/// A failure of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Failure {
-    /// An attempt was sent, and no response came.
+    /// An attempt was sent and got no response.
     LostResponse,
     /// No connection could be opened.
     NoConnection,
--- a/crates/routing/src/router/overload.rs
+++ b/crates/routing/src/router/overload.rs
@@ -1,4 +1,4 @@
-//! The overload ratio of a group's primary and of its replicas: the fraction of responses that came late or
+//! The overload ratio of a group's primary and of its replicas: the fraction of responses that were late or
 //! were rejections. It measures the load of all routers together, which the few responses of one endpoint do
 //! not show.
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// What an outcome says of the load.
+/// What an outcome shows of the load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OverloadSample {
     late: f64,
@@ -65,7 +65,7 @@
         Self { late: f64::from(u8::from(is_late)), total: 1.0 }
     }
 
-    /// A lost response. Among responses in good time it says nothing of the load, among late ones it does.
+    /// A lost response. Among responses in good time it shows no overload, among late ones it does.
     pub(super) fn lost_response(overload: f64) -> Self {
         Self { late: overload, total: overload }
     }
--- a/crates/routing/src/router/slow_start.rs
+++ b/crates/routing/src/router/slow_start.rs
@@ -87,7 +87,7 @@
     listed_start: Option<Timestamp>,
     /// When it last started, on the router's clock; `None` for long ago.
     started_at: Option<Timestamp>,
-    /// `started_at` is when the list told of the start, since the clock was not confirmed then.
+    /// `started_at` is when the list reported the start, since the clock was not confirmed then.
     is_start_presumed: bool,
     balance: TokenBalance,
 }
@@ -104,7 +104,7 @@
 
     /// The tokens of this router, where a warm endpoint has this capacity.
     pub(super) fn tokens(&self, now: Timestamp, capacity: RequestRate, settings: &Settings) -> f64 {
-        // An endpoint survives so much in a whole window: what counts is how warm it was when the window
+        // The overload is counted over a window: what matters is how warm the endpoint was when the window
         // began.
         let fraction = self.fraction(now - settings.overload_window, settings);
         let rate = RequestRate::of_warming_endpoint(capacity, fraction, settings);
@@ -112,7 +112,7 @@
         (self.balance.tokens + earned).min(1.0 + rate.over(TOKEN_BURST))
     }
 
-    /// Takes one of the `available` tokens. Requests sent without one, to a warm endpoint, leave no debt.
+    /// Spends one of the `available` tokens. Requests sent without one, to a warm endpoint, leave no debt.
     pub(super) fn spend_token(&mut self, now: Timestamp, available: f64) {
         self.balance = TokenBalance { tokens: (available - 1.0).max(0.0), updated_at: now };
     }
@@ -124,8 +124,8 @@
         self.balance = TokenBalance { tokens, updated_at: now };
     }
 
-    /// Takes the start that the endpoint list shows, and returns whether it is a new one. With `is_recent`,
-    /// the list reported it as a change, so it was a moment ago; how long ago only a confirmed clock tells.
+    /// Records the start that the endpoint list shows, and returns whether it is a new one. With `is_recent`,
+    /// the list reported it as a change, so it was a moment ago; how long ago, only a confirmed clock shows.
     pub(super) fn observe_listed_start(
         &mut self,
         now: Timestamp,
