--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,4 +1,4 @@
-//! What the router asks its host to do.
+//! What a host does for the router.
 
 use crate::{AttemptNumber, EndpointId, RequestId, TimeDelta, Timestamp};
 
@@ -33,7 +33,7 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Ask an endpoint for its load report.
+    /// Request the load report of an endpoint.
     HealthCheck {
         /// The endpoint.
         endpoint: EndpointId,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,9 +1,9 @@
 //! The routing decisions of the pooler, which routes reads and writes over replicated databases.
 //!
 //! [`Router`] is a pure state machine: the host reports [`Event`]s with the time at which they happened, and
-//! carries out the [`Action`]s that the router appends. [`membership`] resolves who the endpoints are from
-//! what several sources say. Nothing here performs I/O, reads a clock or starts a thread; the same events and
-//! seed give the same actions.
+//! carries out the [`Action`]s that the router appends. [`membership`] resolves the endpoints from the claims
+//! of several sources. Nothing here performs I/O, reads a clock or starts a thread; the same events and seed
+//! give the same actions.
 //!
 //! The hosts are the packages `pooler-proxy`, on real sockets, and `simulator-adapter`; both decode
 //! [`settings`] with the same code. The README has an example, which is tested with the documentation.
--- a/crates/routing/src/router/concurrency.rs
+++ b/crates/routing/src/router/concurrency.rs
@@ -1,6 +1,9 @@
 //! The concurrency limit of an endpoint, as this router sees it: it grows with responses in good time, and
 //! shrinks with rejections and with responses that come late.
 
+#[cfg(test)]
+mod tests;
+
 use crate::{TimeDelta, Timestamp};
 
 /// The first limit, for all routers together.
--- a/crates/routing/src/router/decaying.rs
+++ b/crates/routing/src/router/decaying.rs
@@ -1,5 +1,8 @@
 //! Sums over the recent past, in which older contributions count exponentially less.
 
+#[cfg(test)]
+mod tests;
+
 use crate::{TimeDelta, Timestamp};
 
 /// The total that a prior counts for in an estimated ratio.
--- a/crates/routing/src/router/fleet_clock.rs
+++ b/crates/routing/src/router/fleet_clock.rs
@@ -2,6 +2,9 @@
 //! durations; what it is set to may be off by seconds or by an hour, which shows only in the times that
 //! endpoints report.
 
+#[cfg(test)]
+mod tests;
+
 use crate::{TimeDelta, Timestamp};
 
 /// A larger difference is not an error of the clock, but an invalid value.
--- a/crates/routing/src/router/freshness.rs
+++ b/crates/routing/src/router/freshness.rs
@@ -1,5 +1,8 @@
 //! How current the data of an endpoint is, and what reads require.
 
+#[cfg(test)]
+mod tests;
+
 use super::fleet_clock::FleetClock;
 use super::requests::PendingRequest;
 use crate::{Consistency, Operation, SessionKey, StaleReadPolicy, TimeDelta, Timestamp};
--- /dev/null
+++ b/crates/routing/src/router/freshness/tests.rs
@@ -0,0 +1,66 @@
+use super::{ReplicaFreshness, SessionTokens};
+use crate::{SessionKey, StaleReadPolicy, TimeDelta, Timestamp};
+
+const NOW: Timestamp = Timestamp(50_000_000);
+
+fn ms(milliseconds: i64) -> TimeDelta {
+    TimeDelta::from_millis(milliseconds)
+}
+
+fn replica_at(position: Timestamp) -> ReplicaFreshness {
+    let mut freshness = ReplicaFreshness::default();
+    freshness.observe_response(NOW, position);
+    freshness
+}
+
+#[test]
+fn only_a_known_position_suffices_where_endpoints_serve_stale_reads() {
+    let freshness = replica_at(NOW - ms(100));
+    let may_serve = |required| freshness.may_serve(NOW, required, StaleReadPolicy::Serve);
+    assert!(may_serve(None) && may_serve(Some(NOW - ms(100))));
+    assert!(!may_serve(Some(NOW - ms(99))));
+}
+
+#[test]
+fn an_endpoint_that_rejects_stale_reads_is_tried_once_it_may_have_caught_up() {
+    let mut freshness = replica_at(NOW - ms(100));
+    let may_serve = |freshness: &ReplicaFreshness, after| {
+        freshness.may_serve(NOW + ms(after), Some(NOW), StaleReadPolicy::Reject)
+    };
+    assert!(!may_serve(&freshness, 99));
+    assert!(may_serve(&freshness, 100));
+    freshness.record_rejected_read(NOW + ms(100), NOW);
+    assert!(!may_serve(&freshness, 1_099), "it rejected such a read");
+    assert!(may_serve(&freshness, 1_100), "but that was long ago");
+}
+
+#[test]
+fn a_position_never_goes_back_but_for_a_clock_that_was_ahead() {
+    let mut freshness = replica_at(NOW);
+    freshness.observe_report(NOW, NOW - ms(500));
+    assert_eq!(freshness.position(), NOW);
+    freshness.limit_position(NOW - ms(200));
+    assert_eq!(freshness.position(), NOW - ms(200));
+}
+
+#[test]
+fn a_health_check_is_due_sooner_where_it_may_show_that_the_replica_caught_up() {
+    let freshness = replica_at(NOW - ms(50));
+    let is_due = |required, after| freshness.is_check_due(NOW + ms(after), required, NOW, ms(1_000));
+    assert!(!is_due(NOW, 99) && is_due(NOW, 100));
+    assert!(!is_due(NOW + ms(10_000), 999) && is_due(NOW + ms(10_000), 1_000));
+    assert!(!is_due(NOW - ms(50), 5_000), "it is known to have caught up");
+}
+
+#[test]
+fn a_session_token_is_the_latest_commit_until_all_endpoints_have_applied_it() {
+    let (mut tokens, session) = (SessionTokens::default(), SessionKey(1));
+    tokens.record_commit(session, NOW);
+    tokens.record_commit(session, NOW - ms(10));
+    assert_eq!(tokens.get(session), Some(NOW));
+    tokens.remove_applied(None);
+    tokens.remove_applied(Some(NOW - ms(1)));
+    assert_eq!(tokens.get(session), Some(NOW));
+    tokens.remove_applied(Some(NOW));
+    assert_eq!(tokens.get(session), None);
+}
--- a/crates/routing/src/router/in_flight.rs
+++ b/crates/routing/src/router/in_flight.rs
@@ -1,6 +1,9 @@
 //! The work of an endpoint for this router: attempts in flight, and attempts that were abandoned while they
 //! may run.
 
+#[cfg(test)]
+mod tests;
+
 use super::latency::LatencyEstimates;
 use crate::{AttemptNumber, ClassId, RequestId, SessionKey, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
--- a/crates/routing/src/router/latency.rs
+++ b/crates/routing/src/router/latency.rs
@@ -1,5 +1,8 @@
 //! The usual latency of each request class, and how much slower than usual an endpoint responds.
 
+#[cfg(test)]
+mod tests;
+
 use super::decaying::remaining_weight;
 use crate::time::Microseconds;
 use crate::{ClassId, RequestClass, TimeDelta, Timestamp};
--- a/crates/routing/src/router/outlier_detection.rs
+++ b/crates/routing/src/router/outlier_detection.rs
@@ -1,5 +1,8 @@
 //! Outlier detection: endpoints that fail are ejected for a time.
 
+#[cfg(test)]
+mod tests;
+
 use crate::{TimeDelta, Timestamp};
 
 /// The score from which an endpoint is ejected.
--- a/crates/routing/src/router/primary.rs
+++ b/crates/routing/src/router/primary.rs
@@ -1,5 +1,8 @@
 //! Which endpoint of a group is the primary: the evidence for the role of each, and what the router believes.
 
+#[cfg(test)]
+mod tests;
+
 use crate::primary_search::{PrimarySearch, SearchTarget};
 use crate::{EndpointId, Role, TimeDelta, Timestamp};
 
--- a/crates/routing/src/router/requests.rs
+++ b/crates/routing/src/router/requests.rs
@@ -1,5 +1,8 @@
 //! The requests that are owed a final response, and when each must be looked at.
 
+#[cfg(test)]
+mod tests;
+
 use crate::{
     AttemptNumber, AttemptOutcome, ClassId, EndpointId, GroupId, Request, RequestClass, RequestId,
     SessionKey, TenantId, TimeDelta, Timestamp,
--- a/crates/routing/src/router/retry_budget.rs
+++ b/crates/routing/src/router/retry_budget.rs
@@ -1,5 +1,8 @@
 //! Budgets of additional work: retries and hedges, and health checks for the positions of replicas.
 
+#[cfg(test)]
+mod tests;
+
 /// The retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// The retries that may be saved up.
--- a/crates/routing/src/router/slow_start.rs
+++ b/crates/routing/src/router/slow_start.rs
@@ -1,6 +1,9 @@
 //! Slow start: what an endpoint that has just started may be sent, so that all routers together do not
 //! overload it.
 
+#[cfg(test)]
+mod tests;
+
 use super::decaying::DecayingCount;
 use super::fleet_clock::FleetClock;
 use crate::{Settings, TimeDelta, Timestamp};
--- a/crates/routing/src/router/timers.rs
+++ b/crates/routing/src/router/timers.rs
@@ -1,6 +1,9 @@
 //! When the router has something to do without an event: its timer, its sweeps, and polls of the endpoint
 //! list.
 
+#[cfg(test)]
+mod tests;
+
 use crate::{Discovery, TimeDelta, Timestamp};
 
 /// How often queued requests are dispatched again.
