--- /dev/null
+++ b/crates/routing/tests/router/fleet_clock.rs
@@ -0,0 +1,168 @@
+//! A router whose own clock is wrong: positions, commits and starts are reported on the fleet's clock.
+
+use crate::support::*;
+
+const HOUR: i64 = 3_600_000;
+
+/// Where so many bounded reads are sent.
+fn send_bounded_reads(host: &mut TestHost, count: usize) -> Vec<EndpointId> {
+    (0..count).flat_map(|_| sent_to(&host.request(BOUNDED_READ).1)).collect()
+}
+
+#[test]
+fn a_clock_that_is_behind_makes_no_old_data_look_fresh() {
+    for behind in [2_000, 5_000, HOUR] {
+        let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+        host.complete_health_check(1, Role::Primary, -behind);
+        // One replica lags by what the clock is off, the other hardly at all.
+        host.complete_health_check(2, Role::Replica, 0);
+        host.complete_health_check(3, Role::Replica, 10 - behind);
+        let sent = send_bounded_reads(&mut host, 40);
+        assert!(
+            !sent.contains(&endpoint_id(2)),
+            "{behind}: its data is {behind} ms old, and a second is allowed"
+        );
+        assert!(sent.contains(&endpoint_id(3)), "{behind}: its data is fresh");
+    }
+}
+
+#[test]
+fn a_commit_corrects_a_clock_that_is_ahead() {
+    for ahead in [5_000, HOUR] {
+        let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+        let (id, actions) = host.request(PLAIN_WRITE);
+        assert_eq!(sent_to(&actions), [endpoint_id(1)]);
+        host.advance_clock(5);
+        let commit = host.now - TimeDelta::from_millis(ahead + 2);
+        host.complete_at_position(id, 1, commit);
+        host.complete_health_check(2, Role::Replica, ahead + 20);
+        host.complete_health_check(3, Role::Replica, ahead + 1_500);
+        let sent = send_bounded_reads(&mut host, 40);
+        assert!(sent.contains(&endpoint_id(2)), "{ahead}: its data is fresh");
+        assert!(!sent.contains(&endpoint_id(3)), "{ahead}: its data is older than a second");
+    }
+}
+
+#[test]
+fn an_implausible_commit_sets_no_clock_back() {
+    // Other reports agree on the present; a lone position of long ago does not make old data look fresh.
+    for behind in [30_000, HOUR, 24 * HOUR] {
+        let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+        host.complete_health_check(1, Role::Primary, 0);
+        host.complete_health_check(2, Role::Replica, 5_000);
+        let (id, _) = host.request(PLAIN_WRITE);
+        host.advance_clock(5);
+        host.complete_at_position(id, 1, host.now - TimeDelta::from_millis(behind));
+        assert!(
+            !send_bounded_reads(&mut host, 40).contains(&endpoint_id(2)),
+            "{behind}: its data is five seconds old"
+        );
+    }
+}
+
+#[test]
+fn a_former_primary_is_no_fresher_than_the_fleet_clock() {
+    // Its own clock is an hour ahead: what a primary had at some moment must not be dated by it.
+    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    for _ in 0..20 {
+        let (id, actions) = host.request(STRONG_READ);
+        if let Some(to) = sent_to(&actions).first().cloned() {
+            let at = endpoint_number(3, &to);
+            host.complete_attempt_as(id, 0, at, AttemptOutcome::Ok, Role::Primary);
+        } else {
+            host.complete_health_check(1, Role::Primary, HOUR);
+        }
+        host.advance_clock(20);
+    }
+    // It hands over, and lags from then on.
+    host.complete_health_check(1, Role::Replica, HOUR + 500);
+    host.complete_health_check(2, Role::Primary, HOUR);
+    host.advance_clock(5_000);
+    host.complete_health_check(2, Role::Primary, HOUR);
+    assert!(
+        !send_bounded_reads(&mut host, 40).contains(&endpoint_id(1)),
+        "what is known of it is over five seconds old"
+    );
+}
+
+/// How many requests go to an endpoint after it restarted, by the endpoint update, in a group of two that was served ten
+/// reads a second until then.
+fn sends_to_a_restarted_endpoint(started_ago_ms: i64, wait_ms: i64) -> usize {
+    let mut host = TestHost::new(settings(), 2);
+    for _ in 0..40 {
+        host.advance_clock(95);
+        let (id, actions) = host.request_with_deadline(EVENTUAL_READ, 400);
+        let at = first_or_second(&actions);
+        host.advance_clock(5);
+        host.complete_attempt(id, 0, at, AttemptOutcome::Ok);
+    }
+    let started = host.now - TimeDelta::from_millis(started_ago_ms);
+    host.set_started_at(2, started);
+    host.set_lifecycle(1, Lifecycle::Draining);
+    host.advance(wait_ms);
+    let mut sent = 0;
+    for _ in 0..50 {
+        let (id, actions) = host.request_with_deadline(EVENTUAL_READ, 400);
+        sent += sent_to(&actions).len();
+        if !sent_to(&actions).is_empty() {
+            host.complete_attempt(id, 0, 2, AttemptOutcome::Ok);
+        }
+    }
+    sent
+}
+
+#[test]
+fn a_started_endpoint_is_cold_whatever_the_clock_says() {
+    for ago in [0, 30_000, HOUR, -HOUR] {
+        let burst = sends_to_a_restarted_endpoint(ago, 0);
+        assert!(burst <= 2, "{ago}: {burst} sends at once to an endpoint that has just restarted");
+    }
+}
+
+#[test]
+fn a_started_endpoint_is_warm_after_the_window_whatever_the_clock_says() {
+    for ago in [0, 30_000, HOUR, -HOUR] {
+        let sent = sends_to_a_restarted_endpoint(ago, 10_500);
+        assert!(sent >= 30, "{ago}: {sent} sends to an endpoint that has been warm for half a second");
+    }
+}
+
+#[test]
+fn a_new_router_hears_the_primary_before_it_trusts_its_clock() {
+    // Its clock is five seconds behind; of the endpoints that it health checks at its first read a replica answers
+    // first, whose data is as old.
+    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 0);
+    let entries = (1..=3).map(|at| EndpointEntry { primary: at == 1, ..endpoint_entry(at) }).collect();
+    host.replace_endpoints(entries);
+    let (_, actions) = host.request(BOUNDED_READ);
+    assert!(sent_to(&actions).is_empty());
+    assert!(
+        health_checked(&actions).contains(&endpoint_id(1)),
+        "the listed primary is health checked: {actions:?}"
+    );
+    host.advance_clock(2);
+    assert_eq!(
+        sent_to(&host.complete_health_check(2, Role::Replica, 0)),
+        [],
+        "no response has shown the present yet"
+    );
+    assert!(send_bounded_reads(&mut host, 5).is_empty());
+    host.advance_clock(2);
+    let dispatched = sent_to(&host.complete_health_check(1, Role::Primary, -5_000));
+    assert!(!dispatched.is_empty() && dispatched.iter().all(|to| *to == endpoint_id(1)), "{dispatched:?}");
+    host.complete_health_check(3, Role::Replica, -4_990);
+    let sent = send_bounded_reads(&mut host, 40);
+    assert!(sent.contains(&endpoint_id(3)) && !sent.contains(&endpoint_id(2)), "{sent:?}");
+}
+
+#[test]
+fn a_silent_primary_delays_reads_only_briefly() {
+    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 0);
+    let entries = (1..=3).map(|at| EndpointEntry { primary: at == 1, ..endpoint_entry(at) }).collect();
+    host.replace_endpoints(entries);
+    host.request(BOUNDED_READ);
+    host.advance_clock(2);
+    host.complete_health_check(2, Role::Replica, 10);
+    let dispatched = sent_to(&host.advance(300));
+    assert_eq!(dispatched, [endpoint_id(2)], "by its own clock");
+}
--- /dev/null
+++ b/crates/routing/tests/router/freshness.rs
@@ -0,0 +1,160 @@
+//! How fresh the data must be that a read may see.
+
+use crate::support::*;
+
+#[test]
+fn a_former_primary_that_answers_as_a_replica_counts_as_one() {
+    // Seen in simulation: two writes were in flight at a primary when it hung. A health check still showed it as the
+    // primary; then the writes came back from it as from a replica, and a read went there for data too old.
+    let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
+    let (write, _) = host.request(PLAIN_WRITE);
+    let sent = host.now;
+    host.advance_clock(300);
+    host.complete_health_check(1, Role::Primary, 0);
+    host.advance_clock(400);
+    host.report(Event::AttemptCompleted(AttemptCompletion {
+        metadata: Some(ResponseMetadata { role: Some(Role::Replica), position: None }),
+        elapsed: host.now - sent,
+        ..completion(write, 0, 1, AttemptOutcome::Error)
+    }));
+    host.advance(800);
+    let (_, actions) = host.request(BOUNDED_READ);
+    assert!(sent_to(&actions).is_empty(), "its data is 1.2 s old where 1 s is allowed");
+}
+
+#[test]
+fn a_session_sees_its_abandoned_write() {
+    // Seen in simulation: a client left a few milliseconds after the commit, came back, and read older data.
+    for outcome in [AttemptOutcome::Cancelled, AttemptOutcome::Timeout, AttemptOutcome::ConnectionReset] {
+        let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
+        host.complete_health_check(2, Role::Replica, 10);
+        host.complete_health_check(3, Role::Replica, 10);
+        let (write, _) = host.request_in_session(PLAIN_WRITE, 7);
+        host.advance_clock(5);
+        host.report(Event::RequestAbandoned(write));
+        host.complete_attempt(write, 0, 1, outcome);
+        host.advance_clock(20);
+        for _ in 0..8 {
+            let (_, actions) = host.request_in_session(SESSION_READ, 7);
+            let to = sent_to(&actions);
+            assert!(to.iter().all(|to| *to == endpoint_id(1)), "{outcome:?}: {to:?} may not have it yet");
+        }
+        let (_, actions) = host.request_in_session(SESSION_READ, 8);
+        assert_eq!(sent_to(&actions).len(), 1, "another session has written nothing");
+        // A replica that is shown to be past it is eligible.
+        host.complete_health_check(2, Role::Replica, 0);
+        let (_, actions) = host.request_in_session(SESSION_READ, 7);
+        assert_eq!(sent_to(&actions), [endpoint_id(2)], "{outcome:?}");
+    }
+}
+
+#[test]
+fn a_read_stays_eligible_only_while_the_data_is_fresh_enough() {
+    let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
+    host.complete_health_check(2, Role::Replica, 600);
+    let (read, actions) = host.request(BOUNDED_READ);
+    assert_eq!(sent_to(&actions), [endpoint_id(2)]);
+    host.advance_clock(390);
+    assert!(host.router.still_eligible(host.now, read, &endpoint_id(2)), "990 ms old, where 1,000 will do");
+    host.advance_clock(20);
+    assert!(!host.router.still_eligible(host.now, read, &endpoint_id(2)));
+    assert!(host.router.still_eligible(host.now, read, &endpoint_id(1)), "a primary is always up to date");
+    host.complete_health_check(2, Role::Replica, 0);
+    assert!(host.router.still_eligible(host.now, read, &endpoint_id(2)));
+    host.complete_attempt(read, 0, 2, AttemptOutcome::Ok);
+    assert!(!host.router.still_eligible(host.now, read, &endpoint_id(2)), "over");
+    let (write, _) = host.request(PLAIN_WRITE);
+    assert!(host.router.still_eligible(host.now, write, &endpoint_id(3)), "a write needs no position");
+}
+
+#[test]
+fn bounded_reads_need_a_known_position_where_endpoints_do_not_check() {
+    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    let (_, actions) = host.request(BOUNDED_READ);
+    assert!(sent_to(&actions).is_empty(), "nothing is known of any endpoint");
+    assert_eq!(health_checked(&actions).len(), 3);
+    assert!(
+        health_checked(&host.request(BOUNDED_READ).1).is_empty(),
+        "at most one health check for each bound"
+    );
+    host.advance_clock(2);
+    let actions = host.complete_health_check(2, Role::Replica, 10);
+    assert_eq!(sent_to(&actions), [endpoint_id(2), endpoint_id(2)]);
+    host.complete_health_check(3, Role::Replica, 5_000);
+    assert_eq!(sent_to(&host.request(BOUNDED_READ).1), [endpoint_id(2)], "endpoint 3 is shown to lag");
+}
+
+#[test]
+fn bounded_reads_go_to_a_known_primary_while_replicas_are_unknown() {
+    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    host.complete_health_check(1, Role::Primary, 0);
+    assert_eq!(sent_to(&host.request(BOUNDED_READ).1), [endpoint_id(1)]);
+}
+
+#[test]
+fn endpoints_of_unknown_position_are_eligible_where_they_check() {
+    let mut host = TestHost::new(settings(), 3);
+    assert_eq!(sent_to(&host.request(BOUNDED_READ).1).len(), 1);
+}
+
+#[test]
+fn an_endpoint_that_rejected_a_read_as_stale_is_skipped_for_a_while() {
+    let mut host = TestHost::new(settings(), 2);
+    let (id, actions) = host.request(BOUNDED_READ);
+    let behind = first_or_second(&actions);
+    let other = endpoint_id(3 - behind);
+    assert_eq!(
+        sent_to(&host.complete_attempt_as(id, 0, behind, AttemptOutcome::NotEligible, Role::Replica)),
+        std::slice::from_ref(&other)
+    );
+    for _ in 0..3 {
+        assert_eq!(sent_to(&host.request(BOUNDED_READ).1), std::slice::from_ref(&other));
+    }
+}
+
+#[test]
+fn a_session_read_follows_its_remembered_write() {
+    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    host.complete_health_check(1, Role::Primary, 0);
+    host.complete_health_check(2, Role::Replica, 50);
+    let (id, actions) = host.request_in_session(KEYED_WRITE, 9);
+    assert_eq!(sent_to(&actions), [endpoint_id(1)]);
+    host.advance_clock(10);
+    host.complete_at_position(id, 1, host.now);
+    assert_eq!(
+        sent_to(&host.request_in_session(SESSION_READ, 9).1),
+        [endpoint_id(1)],
+        "endpoint 2 has not shown the write"
+    );
+    assert_eq!(
+        sent_to(&host.request_in_session(SESSION_READ, 8).1).len(),
+        1,
+        "another session may read anywhere"
+    );
+    host.advance_clock(50);
+    host.complete_health_check(2, Role::Replica, 10);
+    assert_eq!(sent_to(&host.request_in_session(SESSION_READ, 9).1), [endpoint_id(2)]);
+}
+
+#[test]
+fn a_session_token_in_the_request_is_met_by_position() {
+    let settings = Settings {
+        stale_read_policy: StaleReadPolicy::Serve,
+        session_token_source: SessionTokenSource::Request,
+        ..settings()
+    };
+    let mut host = TestHost::new(settings, 2);
+    host.complete_health_check(1, Role::Replica, 300);
+    host.complete_health_check(2, Role::Replica, 20);
+    let request = Request {
+        id: RequestId(77),
+        class: SESSION_READ,
+        tenant: None,
+        session: None,
+        time_remaining: TimeDelta::from_millis(1_000),
+        group: GroupId(0),
+        since_last_write: Some(TimeDelta::from_millis(100)),
+        expected_work: None,
+    };
+    assert_eq!(sent_to(&host.report(Event::Request(request))), [endpoint_id(2)]);
+}
--- /dev/null
+++ b/crates/routing/tests/router/retries.rs
@@ -0,0 +1,89 @@
+//! Retries: of reads elsewhere, of writes only on proof that they never ran.
+
+use crate::support::*;
+
+#[test]
+fn a_write_that_may_have_run_fails_and_is_not_retried() {
+    for outcome in [
+        AttemptOutcome::Error,
+        AttemptOutcome::Timeout,
+        AttemptOutcome::ConnectionReset,
+        AttemptOutcome::Cancelled,
+    ] {
+        for class in [KEYED_WRITE, PLAIN_WRITE] {
+            let mut host = TestHost::with_primary(settings());
+            let (id, actions) = host.request(class);
+            assert_eq!(sent_to(&actions), [endpoint_id(1)]);
+            let actions = host.complete_attempt(id, 0, 1, outcome);
+            assert!(is_failed(&actions, id), "{outcome:?}");
+            assert!(sent_to(&actions).is_empty() && rejection(&actions, id).is_none());
+            assert!(sent_to(&host.advance(2_000)).is_empty());
+        }
+    }
+}
+
+#[test]
+fn reads_are_retried_elsewhere_and_finally_rejected_with_a_retry_after() {
+    let mut host = TestHost::new(settings(), 2);
+    let (id, actions) = host.request(EVENTUAL_READ);
+    let first = first_or_second(&actions);
+    assert_eq!(
+        sent_to(&host.complete_attempt(id, 0, first, AttemptOutcome::Error)),
+        [endpoint_id(3 - first)]
+    );
+    host.advance_clock(390);
+    let actions = host.complete_attempt(id, 1, 3 - first, AttemptOutcome::Error);
+    let retry_after = rejection(&actions, id).and_then(|rejection| rejection.retry_after);
+    assert!(retry_after.is_some_and(|wait| wait > TimeDelta(0) && wait <= TimeDelta::from_millis(2_000)));
+}
+
+#[test]
+fn no_retry_after_where_it_is_not_allowed() {
+    let mut host = TestHost::new(Settings { retry_after_allowed: false, max_attempts: 1, ..settings() }, 2);
+    let (id, actions) = host.request(EVENTUAL_READ);
+    let at = first_or_second(&actions);
+    let actions = host.complete_attempt(id, 0, at, AttemptOutcome::Error);
+    assert_eq!(rejection(&actions, id), Some(Rejection { retry_after: None }));
+}
+
+#[test]
+fn an_endpoint_that_rejects_is_not_retried_excessively() {
+    // Seen in simulation: up to 15 attempts a request, nearly all of them rejected.
+    let mut host = TestHost::new(settings(), 2);
+    let mut all = 0;
+    for _ in 0..100 {
+        let (id, mut actions) = host.request(EVENTUAL_READ);
+        let mut attempt = 0;
+        while let Some(to) = sent_to(&actions).first() {
+            all += 1;
+            host.advance_clock(1);
+            let at = if *to == endpoint_id(1) { 1 } else { 2 };
+            actions = host.complete_attempt(id, attempt, at, AttemptOutcome::Rejected);
+            attempt += 1;
+        }
+    }
+    assert!(all < 300, "{all} attempts for 100 requests");
+}
+
+#[test]
+fn a_write_survives_a_primary_that_drains_unannounced() {
+    // It rejects everything for a second and a half; only then would an update announce the drain.
+    let mut host = TestHost::with_primary(settings());
+    let (id, actions) = host.request_with_deadline(PLAIN_WRITE, 5_000);
+    assert_eq!(sent_to(&actions), [endpoint_id(1)]);
+    let (mut attempts, mut is_in_flight) = (1, true);
+    for _ in 0..150 {
+        if is_in_flight {
+            let actions = host.complete_attempt(id, attempts - 1, 1, AttemptOutcome::Rejected);
+            assert!(
+                rejection(&actions, id).is_none() && !is_failed(&actions, id),
+                "given up after {attempts}"
+            );
+        }
+        let sent = sent_to(&host.advance(10));
+        assert!(sent.iter().all(|to| *to == endpoint_id(1)), "no other endpoint is the primary");
+        is_in_flight = !sent.is_empty();
+        attempts += sent.len() as u32;
+    }
+    assert!((4..8).contains(&attempts), "{attempts} of 8 attempts");
+}
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The built adapter on transcripts of the project's own.
+//! The built adapter on transcripts of the simulator's wire.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,18 +12,20 @@
 Limits.MaxRetryAfter=2000.0 Rules.DrainGrace=500.0 Rules.ColdFrom=0.2 Rules.Cold=10000.0 \
 Rules.FallMultiple=3.0 Rules.Fall=2000.0 Unknown.Key=ignored";
 
-fn drill(input: &str) -> Output {
+/// Runs the adapter on this input, to its end.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may stop reading early on bad input; its exit code and words are what counts then.
+    // The adapter may stop reading early on bad input; its exit code and message are what counts then.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
 
+/// A batch that starts an instance and tells it of one endpoint.
 fn opening() -> String {
     format!(
         "frame 5000.0 1\ncommit\nframe 5001.0 2\n{START}\ncensus 0 1\nm 10.0.0.1:70 north std 1 4 healthy 1 -\n\
@@ -31,8 +33,9 @@
     )
 }
 
-fn rejects(line: &str, word: &str) {
-    let output = drill(&format!("{}frame 5002.0 3\n{line}\ncommit\n", opening()));
+/// Checks that the adapter ends at this line with an error that holds the word.
+fn assert_rejected(line: &str, word: &str) {
+    let output = run_adapter(&format!("{}frame 5002.0 3\n{line}\ncommit\n", opening()));
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success(), "{line}");
     assert!(error.contains("line 1") && error.contains(word), "{error}");
@@ -40,13 +43,13 @@
 }
 
 #[test]
-fn a_request_is_sent_answered_and_followed_by_silence() {
+fn a_request_is_forwarded_and_its_response_acknowledged() {
     let input = format!(
         "{}frame 5010.0 3\nnew_request 3 77 book - 5 900.0 - 4 - 4\ncommit\n\
          frame 5030.0 4\nresponse 3 77 0 20.0 16101 completed 10.0.0.1:70 1 4.01,1\ncommit\n",
         opening()
     );
-    let output = drill(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
     let expected = "ack 1\nack 2\nforward 3 77 10.0.0.1:70 900.000\nremind 3 5910.000 wake\nack 3\nack 4\n";
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn lists_are_resolved_in_event_order_and_a_restart_forgets() {
+fn endpoint_updates_apply_in_event_order_and_a_restart_forgets_them() {
     let input = format!(
         "{}frame 5010.0 3\ncensus 0 1\nm 10.0.0.2:70 north std 0 4 healthy 1 -\ndirectory_update 3 diff 2 0\n\
          census 0 1\nm 10.0.0.1:70 north std 0 4 deregistered 1 -\ndirectory_update 3 diff 3 0\n\
@@ -62,31 +65,31 @@
          new_request 3 2 look - - 900.0 - 4 - 0\ncommit\n",
         opening()
     );
-    let output = drill(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.contains("forward 3 1 10.0.0.2:70"), "{text}");
-    assert!(!text.contains("forward 3 2 "), "the new instance knows of a removed member only: {text}");
+    assert!(!text.contains("forward 3 2 "), "the new instance knows a removed endpoint only: {text}");
 }
 
 #[test]
-fn bad_lines_are_named_on_standard_error() {
-    rejects("new_request 3 77 book - 5 soon - 4 - 4", "soon");
-    rejects("new_request 3 77 walk - 5 900.0 - 4 - 4", "walk");
-    rejects("new_request 3 77 book", "missing");
-    rejects("greet 3", "greet");
-    rejects("vanished 8 77", "instance 8");
-    rejects("directory_update 3 diff 2 9", "list 9");
-    rejects("census 1 1", "commit");
-    rejects(&START.replace("FleetSize=2 ", ""), "FleetSize");
-    rejects(&START.replace("SendCap=6", "SendCap=six"), "six");
+fn malformed_lines_are_named_on_standard_error() {
+    assert_rejected("new_request 3 77 book - 5 soon - 4 - 4", "soon");
+    assert_rejected("new_request 3 77 walk - 5 900.0 - 4 - 4", "walk");
+    assert_rejected("new_request 3 77 book", "missing");
+    assert_rejected("greet 3", "greet");
+    assert_rejected("vanished 8 77", "instance 8");
+    assert_rejected("directory_update 3 diff 2 9", "list 9");
+    assert_rejected("census 1 1", "commit");
+    assert_rejected(&START.replace("FleetSize=2 ", ""), "FleetSize");
+    assert_rejected(&START.replace("SendCap=6", "SendCap=six"), "six");
 }
 
 #[test]
-fn the_end_of_input_is_fine_between_batches_only() {
-    assert!(drill("").status.success());
-    assert!(drill(&opening()).status.success());
-    let output = drill("frame 5000.0 1\n");
+fn input_may_end_only_between_batches() {
+    assert!(run_adapter("").status.success());
+    assert!(run_adapter(&opening()).status.success());
+    let output = run_adapter("frame 5000.0 1\n");
     assert!(!output.status.success());
     assert!(String::from_utf8(output.stderr).unwrap().contains("inside a batch"));
 }
