--- a/crates/pooler/tests/sockets/client_disconnects.rs
+++ b/crates/pooler/tests/sockets/client_disconnects.rs
@@ -27,7 +27,10 @@
     let mut client = Client::connect(&pooler);
     assert_eq!(client.query(&read_statement("2")).text(), Some("s-1"));
     let counters = pooler.counters();
-    assert!(counters.contains(" gone=1 ") && counters.contains(" outcome.cancelled=1 "), "{counters}");
+    assert!(
+        counters.contains(" client_disconnects=1 ") && counters.contains(" outcome.cancelled=1 "),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -36,9 +39,9 @@
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
     client.send_query(&read_statement("1"));
-    assert!(pooler.counts(" dials=1 "));
+    assert!(pooler.counts(" server_connections_opened=1 "));
     drop(client);
-    assert!(pooler.counts(" gone=1 "));
+    assert!(pooler.counts(" client_disconnects=1 "));
     gate.open();
     // Served after it, on a connection of its own: by then the first has come up as well.
     assert_eq!(Client::connect(&pooler).query(&read_statement("2")).text(), Some("s-1"));
@@ -62,9 +65,9 @@
     let watch = discovery.accept_watch();
     let mut client = Client::connect(&pooler);
     client.send_query(&write_statement("1"));
-    assert!(pooler.counts(" outcome.miss=1"));
+    assert!(pooler.counts(" outcome.not_eligible=1"));
     drop(client);
-    assert!(pooler.counts(" gone=1 "));
+    assert!(pooler.counts(" client_disconnects=1 "));
     watch.send(delta(42, vec![primary.entry("up", "master")]));
     assert_eq!(Client::connect(&pooler).query(&write_statement("2")).text(), Some("s-2"));
     assert_eq!(primary.statements().len(), 1, "only what is still asked: {:?}", primary.statements());
@@ -87,7 +90,7 @@
     client.send_query(&read_statement("1"));
     server.wait_for_statement();
     drop(client);
-    assert!(pooler.counts(" gone=1 "));
+    assert!(pooler.counts(" client_disconnects=1 "));
     gate.open();
     let mut next = Client::connect(&pooler);
     for id in ["2", "3", "4"] {
@@ -107,7 +110,7 @@
     client.stream.write_bytes(&ahead);
     drop(client);
     // It is noticed while the first is still in flight, and what stands behind it goes with it.
-    assert!(pooler.counts_within(2_000, " gone=1 "), "it has disconnected");
+    assert!(pooler.counts_within(2_000, " client_disconnects=1 "), "it has disconnected");
     gate.open();
     assert_eq!(Client::connect(&pooler).query(&read_statement("3")).text(), Some("s-1"));
     assert_eq!(server.statements().len(), 2, "nothing more was begun for it");
@@ -129,9 +132,12 @@
         }
         client.stream.write_bytes(&ahead);
     }
-    assert!(pooler.counts(" taken=20 "));
+    assert!(pooler.counts(" requests=20 "));
     drop(clients);
-    assert!(pooler.counts(" gone=20 "), "all are noticed while their first requests are in flight");
+    assert!(
+        pooler.counts(" client_disconnects=20 "),
+        "all are noticed while their first requests are in flight"
+    );
     gate.open();
     assert_eq!(Client::connect(&pooler).query(&read_statement("last")).text(), Some("s-1"));
     let is_later = |statement: &String| !statement.contains("-0,") && !statement.contains("last");
@@ -146,12 +152,12 @@
         let pooler = PoolerProcess::with_replica(&server);
         let mut client = Client::connect(&pooler);
         client.send_query(&read_statement("gone"));
-        assert!(pooler.counts(" dials=1 "));
+        assert!(pooler.counts(" server_connections_opened=1 "));
         pooler.while_stopped(|| {
             drop(client);
             gate.open();
         });
-        assert!(pooler.counts(" gone=1 "));
+        assert!(pooler.counts(" client_disconnects=1 "));
         assert_eq!(Client::connect(&pooler).query(&read_statement("next")).text(), Some("s-1"));
         let statements = server.statements();
         assert!(statements.iter().all(|of| of.contains("id=next,")), "{round}: {statements:?}");
--- a/crates/pooler/tests/sockets/connection_limits.rs
+++ b/crates/pooler/tests/sockets/connection_limits.rs
@@ -26,7 +26,7 @@
     let mut idle = Client::connect(&pooler);
     assert_eq!(idle.query("").tags, "IZ");
     let mut busy: Vec<Client> = (0..14).map(|number| busy_client(&pooler, &number.to_string())).collect();
-    pooler.wait_for_counter(" taken=14 ");
+    pooler.wait_for_counter(" requests=14 ");
     // A further client takes the place of the idle one, once that has been idle for more than a moment.
     let connect = || {
         let mut client = Client::connect_with(&pooler, b"");
@@ -37,7 +37,7 @@
     assert!(idle.is_closed(), "the idle one made room");
     last.send_query(&read_statement("15"));
     busy.push(last);
-    pooler.wait_for_counter(" taken=15 ");
+    pooler.wait_for_counter(" requests=15 ");
     // Now all are busy. A client that comes then is told in full: its connection is not reset with the request unread.
     let mut over = Client::over(TcpStream::connect(pooler.address).unwrap(), &read_statement("16"));
     let response = over.read_response();
@@ -49,7 +49,7 @@
     let rejected = responses.iter().filter(|response| response.sql_state() == Some("53300")).count();
     assert!(served >= 13, "as many as had a connection: {responses:?}");
     assert_eq!(served + rejected, 15, "{responses:?}");
-    assert!(pooler.counters().contains(" outcome.connect_failed=0 "), "no endpoint is blamed");
+    assert!(pooler.counters().contains(" outcome.connection_refused=0 "), "no endpoint is blamed");
 }
 
 #[test]
@@ -131,7 +131,7 @@
         let mut clients = Vec::new();
         for at in 1..=15 {
             clients.push(busy_client(&pooler, &format!("busy-{at}")));
-            assert!(pooler.counts(&format!(" taken={at} ")));
+            assert!(pooler.counts(&format!(" requests={at} ")));
         }
         Self { gate, _server: server, pooler, clients }
     }
--- a/crates/pooler/tests/sockets/deadlines.rs
+++ b/crates/pooler/tests/sockets/deadlines.rs
@@ -36,7 +36,7 @@
     let pooler = PoolerProcess::with_replica(&server);
     let (mut client, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send_query(&read_statement("1"));
-    pooler.wait_for_counter(" dials=1 ");
+    pooler.wait_for_counter(" server_connections_opened=1 ");
     // Sent later, and over: at least 300 ms have gone by.
     assert!(other.query(&with_deadline(&read_statement("2"), 300)).sql_state.is_some());
     gate.open();
@@ -75,7 +75,7 @@
         let pooler = PoolerProcess::with_replica(&server);
         let mut client = Client::connect(&pooler);
         client.send_query(&with_deadline(&read_statement("late"), 200));
-        assert!(pooler.counts(" dials=1 "));
+        assert!(pooler.counts(" server_connections_opened=1 "));
         pooler.while_stopped(|| gate.open());
         assert_eq!(client.read_response().sql_state(), Some("53300"));
         assert_eq!(client.query(&read_statement("next")).text(), Some("s-1"));
--- a/crates/pooler/tests/sockets/freshness.rs
+++ b/crates/pooler/tests/sockets/freshness.rs
@@ -37,7 +37,7 @@
     });
     let (mut client, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send_query(&read_statement("1").replace("bundle-menu", "my-recent"));
-    pooler.wait_for_counter(" sent=1 ");
+    pooler.wait_for_counter(" attempts=1 ");
     // Sent later, and over: the report is more than 300 ms old by now.
     assert!(other.query(&with_deadline(&read_statement("2"), 300)).sql_state.is_some());
     gate.open();
--- a/crates/pooler/tests/sockets/proxying.rs
+++ b/crates/pooler/tests/sockets/proxying.rs
@@ -34,7 +34,9 @@
     let statements: Vec<String> = server.statements().iter().map(with_original_deadline).collect();
     assert_eq!(statements, [read_statement("11"), read_statement("12")]);
     let counters = pooler.counters();
-    for count in [" taken=2 ", " sent=2 ", " served=2 ", " dials=1 ", " outcome.ok=2 "] {
+    for count in
+        [" requests=2 ", " attempts=2 ", " served=2 ", " server_connections_opened=1 ", " outcome.ok=2 "]
+    {
         assert!(counters.contains(count), "{counters}");
     }
 }
--- a/crates/pooler/tests/sockets/reload.rs
+++ b/crates/pooler/tests/sockets/reload.rs
@@ -36,7 +36,7 @@
         assert_eq!(client.query(&read_statement("3")).text(), Some("s-2"));
     }
     assert_eq!(busy_server.statements().len(), before, "a removed endpoint gets nothing new");
-    assert!(pooler.counters().contains(" reloads=1 "));
+    assert!(pooler.counters().contains(" config_reloads=1 "));
     drop((busy, client));
     pooler.signal(Signal::Terminate);
     assert!(pooler.wait().success());
--- a/crates/pooler/tests/sockets/server_connections.rs
+++ b/crates/pooler/tests/sockets/server_connections.rs
@@ -24,7 +24,10 @@
     }
     assert_eq!(server.statements().len(), 3);
     let counters = pooler.counters();
-    assert!(counters.contains(" outcome.ok=3 ") && counters.contains(" outcome.reset=0 "), "{counters}");
+    assert!(
+        counters.contains(" outcome.ok=3 ") && counters.contains(" outcome.connection_reset=0 "),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -49,7 +52,10 @@
     }
     assert_eq!(server.statements().len(), 3);
     let counters = pooler.counters();
-    assert!(counters.contains(" unsettled=2 ") && counters.contains(" outcome.reset=0 "), "{counters}");
+    assert!(
+        counters.contains(" failed_validations=2 ") && counters.contains(" outcome.connection_reset=0 "),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -73,7 +79,7 @@
     assert_eq!(client.query(&read_statement("1")).text(), Some("done"));
     assert_eq!(server.statements().len(), 1);
     let counters = pooler.counters();
-    assert!(counters.contains(" outcome.unreachable=1 "), "{counters}");
+    assert!(counters.contains(" outcome.connect_timeout=1 "), "{counters}");
     gate.open();
 }
 
--- a/crates/pooler/tests/sockets/shutdown.rs
+++ b/crates/pooler/tests/sockets/shutdown.rs
@@ -59,7 +59,7 @@
     }
     assert!(pooler.wait().success());
     let counters = pooler.wait_for_log("counters");
-    let expected = [format!(" taken={asked} "), format!(" served={asked} ")];
+    let expected = [format!(" requests={asked} "), format!(" served={asked} ")];
     assert!(expected.iter().all(|count| counters.contains(count)), "{asked} {counters}");
     assert!(TcpStream::connect(pooler.address).is_err());
     true
@@ -79,7 +79,7 @@
         let pooler = PoolerProcess::with_replica(&server);
         let mut client = Client::connect(&pooler);
         client.send_query(&read_statement("1"));
-        assert!(pooler.counts(" dials=1 "));
+        assert!(pooler.counts(" server_connections_opened=1 "));
         pooler.begin_shutdown();
         Self { gate, server, pooler, client }
     }
