--- a/crates/pooler/src/error.rs
+++ b/crates/pooler/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a command failed, and the exit code for it.
 
 use pooler_operator_config::Faults;
-use pooler_proxy::RunError;
+use pooler_proxy::StartError;
 use pooler_proxy::config::ConfigError;
 use pooler_service_registry::client::{CallError, SetupError};
 use std::io;
@@ -30,7 +30,7 @@
     #[error("{}", lines(.0))]
     InvalidFiles(Vec<CommandError>),
     #[error(transparent)]
-    Start(#[from] RunError),
+    Start(#[from] StartError),
     #[error("no server of the registry answered: {0}")]
     RegistryUnavailable(#[from] CallError),
     #[error(transparent)]
