--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -3,7 +3,7 @@
 use super::attempt::AttemptError;
 use super::connection_limit::ConnectionPermit;
 use crate::buffer::{ReadBuffer, write_all};
-use crate::protocol;
+use crate::protocol::{backend_tag, is_ready_for_query, parse_backend_message, parse_error_response, write};
 use crate::resource_exhaustion::is_resource_exhaustion;
 use async_io::Async;
 use std::io;
@@ -49,22 +49,22 @@
     /// Sends the startup message and reads up to ReadyForQuery.
     async fn start_up(&mut self) -> Result<(), AttemptError> {
         let mut startup = Vec::with_capacity(64);
-        protocol::write::startup_message(&mut startup, USER, DATABASE);
+        write::startup_message(&mut startup, USER, DATABASE);
         self.write(&[&startup]).await?;
         loop {
-            while let Some(message) = protocol::parse_backend_message(self.unread())? {
+            while let Some(message) = parse_backend_message(self.unread())? {
                 let (tag, size) = (message.tag, message.size);
                 match tag {
-                    b'E' => {
-                        return Err(AttemptError::ServerError(
-                            protocol::parse_error_response(message.body)?.sql_state,
-                        ));
+                    backend_tag::ERROR_RESPONSE => {
+                        return Err(AttemptError::ServerError(parse_error_response(message.body)?.sql_state));
+                    }
+                    backend_tag::AUTHENTICATION if message.body != AUTHENTICATION_OK => {
+                        return Err(AttemptError::ConnectionLost);
                     }
-                    b'R' if message.body != AUTHENTICATION_OK => return Err(AttemptError::ConnectionLost),
                     _ => {}
                 }
                 self.consume(size);
-                if tag == b'Z' {
+                if tag == backend_tag::READY_FOR_QUERY {
                     return Ok(());
                 }
             }
@@ -81,12 +81,13 @@
         self.write(&[EMPTY_QUERY]).await?;
         let mut answered = false;
         loop {
-            while let Some(message) = protocol::parse_backend_message(self.unread())? {
+            while let Some(message) = parse_backend_message(self.unread())? {
                 let (tag, size) = (message.tag, message.size);
-                let ready = tag == b'Z' && answered && protocol::is_ready_for_query(message.body);
+                let ready =
+                    tag == backend_tag::READY_FOR_QUERY && answered && is_ready_for_query(message.body);
                 match tag {
-                    b'I' if !answered => answered = true,
-                    b'S' | b'N' if answered => {}
+                    backend_tag::EMPTY_QUERY_RESPONSE if !answered => answered = true,
+                    backend_tag::PARAMETER_STATUS | backend_tag::NOTICE_RESPONSE if answered => {}
                     _ if ready => {}
                     _ => return Err(AttemptError::ConnectionLost),
                 }
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -5,7 +5,7 @@
 use super::pool::Pool;
 use super::response::{self, ServerResponse};
 use super::statement::{ClientStatement, QueryResponse};
-use crate::protocol;
+use crate::protocol::write;
 use crate::request::{AttemptContext, AttemptResult, AttemptTransport};
 use async_io::Timer;
 use futures_lite::future::or;
@@ -38,13 +38,13 @@
         match self {
             Self::LoadReport => {
                 let mut query = Vec::with_capacity(32);
-                protocol::write::query(&mut query, LOAD_REPORT_QUERY);
+                write::query(&mut query, LOAD_REPORT_QUERY);
                 connection.write(&[&query]).await
             }
             Self::Statement { statement, .. } => {
                 let timeout = timeout.as_millis().max(1).to_string();
                 let (before, after) = (statement.before_timeout(), statement.after_timeout());
-                let head = protocol::write::query_header(before.len() + timeout.len() + after.len());
+                let head = write::query_header(before.len() + timeout.len() + after.len());
                 connection.write(&[&head, before, timeout.as_bytes(), after]).await
             }
         }
@@ -143,7 +143,7 @@
             Ok(exchange) => exchange,
             Err(outcome) => return AttemptResult::without_response(outcome),
         };
-        let ServerResponse { outcome, status, messages, size, ready_for_query, .. } = response;
+        let ServerResponse { outcome, server_status, messages, size, ready_for_query, .. } = response;
         let response = if outcome == AttemptOutcome::Ok {
             Some(detach_response(&mut connection, &messages, size))
         } else {
@@ -153,8 +153,8 @@
         if ready_for_query {
             self.release(endpoint, connection);
         }
-        let load_report = status.load_report(self.load_report_fields());
-        AttemptResult { outcome, metadata: status.response_metadata(), load_report, response }
+        let load_report = server_status.load_report(self.load_report_fields());
+        AttemptResult { outcome, metadata: server_status.response_metadata(), load_report, response }
     }
 }
 
--- a/crates/proxy/src/server/health_checks.rs
+++ b/crates/proxy/src/server/health_checks.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{Exchange, Query, exchange};
 use super::pool::Pool;
-use crate::protocol;
+use crate::protocol::parse_load_report;
 use crate::router_handle::RouterHandle;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
@@ -43,7 +43,7 @@
         };
     let value = response.value.and_then(|range| connection.unread().get(range));
     let text = value.and_then(|value| std::str::from_utf8(value).ok());
-    let load_report = text.and_then(|text| protocol::parse_load_report(text, pool.load_report_fields()));
+    let load_report = text.and_then(|text| parse_load_report(text, pool.load_report_fields()));
     if response.ready_for_query {
         connection.consume(response.size);
         pool.release(endpoint, connection);
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -3,12 +3,15 @@
 use super::attempt::AttemptError;
 use super::connection::Connection;
 use super::sqlstate::statement_error_outcome;
-use crate::protocol::{self, ProtocolError, ResponsePart, ServerStatus, backend_tag};
+use crate::protocol::{
+    MAX_VALUE_SIZE, ProtocolError, ResponseParser, ResponsePart, ServerStatus, backend_tag,
+    parse_backend_message,
+};
 use pooler_routing::AttemptOutcome;
 use std::ops::Range;
 
 /// No response takes up more than this, notices and all.
-const MAX_RESPONSE_SIZE: usize = 2 * protocol::MAX_VALUE_SIZE;
+const MAX_RESPONSE_SIZE: usize = 2 * MAX_VALUE_SIZE;
 
 /// What was read up to ReadyForQuery, or until the server ended the connection. It stands in the connection's buffer
 /// still, whose ranges are given.
@@ -16,7 +19,7 @@
     /// The outcome of the attempt.
     pub(super) outcome: AttemptOutcome,
     /// What the server said of itself beside the response.
-    pub(super) status: ServerStatus,
+    pub(super) server_status: ServerStatus,
     /// The messages of the response.
     pub(super) messages: Vec<Range<usize>>,
     /// The value of the row.
@@ -52,7 +55,7 @@
 /// The part of a response that has been read so far.
 #[derive(Default)]
 struct ResponseReader {
-    parser: protocol::ResponseParser,
+    parser: ResponseParser,
     messages: Vec<Range<usize>>,
     value: Option<Range<usize>>,
     /// The size of the messages that have been read.
@@ -63,7 +66,7 @@
 impl ResponseReader {
     /// Reads the complete messages in `data` from the current position on; true at the end of the response.
     fn read_buffered(&mut self, data: &[u8]) -> Result<bool, ProtocolError> {
-        while let Some(message) = protocol::parse_backend_message(&data[self.position..])? {
+        while let Some(message) = parse_backend_message(&data[self.position..])? {
             let range = self.position..self.position + message.size;
             self.position = range.end;
             match self.parser.accept(&message)? {
@@ -95,7 +98,7 @@
     fn into_response(self) -> ServerResponse {
         ServerResponse {
             outcome: self.parser.error_code().map_or(AttemptOutcome::Ok, statement_error_outcome),
-            status: self.parser.into_server_status(),
+            server_status: self.parser.into_server_status(),
             messages: self.messages,
             value: self.value,
             size: self.position,
--- a/crates/proxy/src/server/sqlstate.rs
+++ b/crates/proxy/src/server/sqlstate.rs
@@ -3,7 +3,7 @@
 use crate::protocol::SqlState;
 use pooler_routing::AttemptOutcome;
 
-/// The outcome of a statement that a server answered with an error: only these codes prove that nothing ran.
+/// The outcome of a statement to which a server responded with an error: only these codes prove that nothing ran.
 pub(super) fn statement_error_outcome(code: SqlState) -> AttemptOutcome {
     match code {
         SqlState::TOO_MANY_CONNECTIONS => AttemptOutcome::Rejected,
@@ -12,7 +12,7 @@
     }
 }
 
-/// The outcome of an attempt whose connection a server turned away with an error: nothing was sent, whatever the code.
+/// The outcome of an attempt whose connection a server rejected with an error: nothing was sent, whatever the code.
 pub(super) fn connection_error_outcome(code: SqlState) -> AttemptOutcome {
     match code {
         SqlState::TOO_MANY_CONNECTIONS | SqlState::CANNOT_CONNECT_NOW => AttemptOutcome::Rejected,
