--- a/crates/proxy/src/server/attempt.rs
+++ b/crates/proxy/src/server/attempt.rs
@@ -27,6 +27,7 @@
             Self::Waiting => AttemptOutcome::NotSent,
             // Nothing was sent, and less than the connect timeout has passed: it may be this connection alone.
             Self::Connecting => AttemptOutcome::ConnectionLostBeforeSend,
+            // The server accepted the connection, but not all bytes of the query: it never ran.
             Self::Writing => AttemptOutcome::ConnectionRefused,
             Self::Sent => AttemptOutcome::Timeout,
         }
