--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -1,4 +1,4 @@
-//! A request whose client disconnects in the moment in which an attempt could be written.
+//! What takes precedence when a client disconnects while an attempt is being made.
 
 use futures_lite::future::{block_on, poll_fn, poll_once};
 use pooler_proxy::metrics::Counters;
@@ -6,7 +6,10 @@
     AbortReason, AttemptContext, AttemptResult, AttemptTransport, ClientRequest, FinalResponse, serve,
 };
 use pooler_proxy::router_handle::RouterHandle;
-use pooler_routing::*;
+use pooler_routing::{
+    AttemptOutcome, ClassId, Consistency, EndpointEntry, EndpointId, EndpointUpdate, Event, GroupId,
+    Idempotency, Lifecycle, Operation, RequestClass, Router, Settings, TimeDelta,
+};
 use std::cell::Cell;
 use std::pin::pin;
 use std::rc::Rc;
@@ -45,6 +48,30 @@
     }
 }
 
+/// A transport that writes at the first poll, and has a response once it is told.
+#[derive(Default)]
+struct WritesAtOnce {
+    responded: Cell<bool>,
+}
+
+impl AttemptTransport for WritesAtOnce {
+    type Query = ();
+    type Response = &'static str;
+
+    async fn attempt(
+        &self,
+        _: &EndpointId,
+        _: &(),
+        _: Duration,
+        context: &AttemptContext<'_>,
+    ) -> AttemptResult<&'static str> {
+        context.mark_sent();
+        poll_fn(|_| if self.responded.get() { Poll::Ready(()) } else { Poll::Pending }).await;
+        let empty = AttemptResult::without_response(AttemptOutcome::Ok);
+        AttemptResult { response: Some("row"), ..empty }
+    }
+}
+
 fn router_with_one_endpoint() -> Rc<RouterHandle> {
     let class = RequestClass {
         name: "any".into(),
@@ -69,23 +96,32 @@
     Rc::new(router)
 }
 
+fn request(router: &RouterHandle) -> ClientRequest<()> {
+    ClientRequest {
+        class: ClassId(0),
+        session: None,
+        group: GroupId(0),
+        deadline: router.now() + TimeDelta::from_millis(1_000),
+        last_write: None,
+        query: (),
+    }
+}
+
+/// Aborts a request once its client is disconnected.
+fn aborted_once(disconnected: &Cell<bool>) -> impl Future<Output = AbortReason> + '_ {
+    poll_fn(|_| match disconnected.get() {
+        true => Poll::Ready(AbortReason::ClientDisconnected),
+        false => Poll::Pending,
+    })
+}
+
 #[test]
 fn nothing_is_written_once_the_client_is_known_to_have_disconnected() {
     block_on(async {
         let router = router_with_one_endpoint();
         let (transport, disconnected) = (ConnectsAtSecondPoll::default(), Cell::new(false));
-        let request = ClientRequest {
-            class: ClassId(0),
-            session: None,
-            group: GroupId(0),
-            deadline: router.now() + TimeDelta::from_millis(1_000),
-            last_write: None,
-            query: (),
-        };
-        let aborted = poll_fn(|_| match disconnected.get() {
-            true => Poll::Ready(AbortReason::ClientDisconnected),
-            false => Poll::Pending,
-        });
+        let request = request(&router);
+        let aborted = aborted_once(&disconnected);
         let mut serving = pin!(serve(&router, &transport, &request, aborted));
         assert!(poll_once(serving.as_mut()).await.is_none());
         assert_eq!(transport.polls.get(), 1, "its connection is being opened");
@@ -99,3 +135,35 @@
         assert!(!transport.written.get(), "nothing is begun for a client that has disconnected");
     });
 }
+
+#[test]
+fn a_response_that_has_arrived_takes_precedence_over_a_disconnect() {
+    block_on(async {
+        let router = router_with_one_endpoint();
+        let (transport, disconnected) = (WritesAtOnce::default(), Cell::new(false));
+        let request = request(&router);
+        let mut serving = pin!(serve(&router, &transport, &request, aborted_once(&disconnected)));
+        assert!(poll_once(serving.as_mut()).await.is_none());
+        transport.responded.set(true);
+        disconnected.set(true);
+        let response = poll_once(serving.as_mut()).await;
+        assert!(matches!(response, Some(FinalResponse::Served("row"))), "{response:?}");
+    });
+}
+
+#[test]
+fn a_request_that_was_written_is_in_doubt_once_its_client_disconnects() {
+    block_on(async {
+        let router = router_with_one_endpoint();
+        let (transport, disconnected) = (WritesAtOnce::default(), Cell::new(false));
+        let request = request(&router);
+        let mut serving = pin!(serve(&router, &transport, &request, aborted_once(&disconnected)));
+        assert!(poll_once(serving.as_mut()).await.is_none());
+        disconnected.set(true);
+        let response = poll_once(serving.as_mut()).await;
+        let Some(FinalResponse::ClientDisconnected { in_doubt_at: Some(endpoint) }) = response else {
+            panic!("{response:?}")
+        };
+        assert_eq!(&*endpoint.0, "s-1");
+    });
+}
