--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,78 +1,75 @@
-//! The operator's file: what this installation wants beside what the platform configures. It is written in a strict
-//! subset of CUE and unified with a schema that is part of the program; each fault is told with its place, and a file
-//! with a fault changes nothing.
+//! The operator's file: what an installation configures beside the platform's own configuration.
+//!
+//! It is written in a strict subset of CUE and unified with a schema that is part of the program. All that is wrong
+//! with a file is reported with its position, and a file with an error changes nothing.
+//!
+//! The stages are the parser (text to syntax tree), the resolver (syntax tree to values), unification (file with
+//! schema), the export (defaults filled in) and the decoder (settings, with the checks that a schema can't express).
 
-mod eval;
+mod decode;
+mod diagnostic;
+mod evaluate;
+mod export;
+mod parser;
+mod resolve;
+mod settings;
+mod suggestion;
 mod syntax;
-mod typed;
+mod unify;
+mod value;
 
-pub use eval::{Fault, Place};
-pub use typed::{
-    LogFormat, LogSettings, Metadata, Network, Operator, Own, ReadWhat, RegistrySettings, Server, User,
+pub use diagnostic::{Diagnostic, DiagnosticKind, OperatorConfigError, Position, SettingError};
+pub use settings::{
+    ClientIdentitySettings, FetchMode, LogFormat, LogLevel, LogSettings, MetadataKeys, NetworkSettings,
+    OperatorConfig, RegistrationSettings, RegistrySettings, ServerSettings, UserSettings,
 };
 
-/// The schema, for people to read and for `pooler check --schema`.
-pub const SCHEMA: &str = include_str!("schema.cue");
-
-/// A file longer than this is not read.
-pub const LONGEST: usize = 256 * 1024;
-
-/// Why a file can't be used: all that is wrong with it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults {
-    /// Its name.
-    pub file: String,
-    /// What is wrong, in the order of the places.
-    pub faults: Vec<Fault>,
-}
+use diagnostic::Diagnostics;
+use std::path::Path;
 
-impl std::error::Error for Faults {}
+/// The schema, to read and for `pooler check --schema`.
+pub const SCHEMA: &str = include_str!("schema.cue");
 
-impl std::fmt::Display for Faults {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for (at, fault) in self.faults.iter().enumerate() {
-            let end = if at + 1 < self.faults.len() { "\n" } else { "" };
-            write!(f, "{}:{}:{}: {}{end}", self.file, fault.place.line, fault.place.column, fault.what)?;
-        }
-        Ok(())
-    }
-}
+/// A longer file is not read.
+pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
-impl Operator {
+impl OperatorConfig {
     /// Reads the file at `path`.
     ///
     /// # Errors
     ///
     /// When it can't be read, or something in it is wrong.
-    pub fn load(path: &std::path::Path) -> Result<Self, Faults> {
+    pub fn load(path: &Path) -> Result<Self, OperatorConfigError> {
         let name = path.display().to_string();
         match std::fs::read(path) {
             Ok(bytes) => Self::decode(&name, &bytes),
             Err(error) => {
-                let fault = Fault { place: Place::default(), what: error.to_string() };
-                Err(Faults { file: name, faults: vec![fault] })
+                let diagnostic = Diagnostic::of_file(DiagnosticKind::Io(error));
+                Err(OperatorConfigError::new(&name, diagnostic.into()))
             }
         }
     }
 
-    /// Decodes a file's text; `name` is the file's, for its faults.
+    /// Decodes a file's text; `name` is the file's, for its errors.
     ///
     /// # Errors
     ///
     /// When something in it is wrong.
-    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Faults> {
-        let faults = |mut faults: Vec<Fault>| {
-            faults.sort();
-            Faults { file: name.to_owned(), faults }
-        };
-        let single = |what: String| faults(vec![Fault { place: Place::default(), what }]);
-        if bytes.len() > LONGEST {
-            return Err(single(format!("longer than {LONGEST} bytes")));
-        }
-        let text = std::str::from_utf8(bytes).map_err(|error| single(format!("no UTF-8: {error}")))?;
-        let schema = syntax::parse(SCHEMA).map_err(|fault| single(format!("the schema: {}", fault.what)))?;
-        let file = syntax::parse(text).map_err(|fault| faults(vec![fault]))?;
-        let tree = eval::evaluate(&schema, &file).map_err(&faults)?;
-        typed::decode(&tree).map_err(faults)
+    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, OperatorConfigError> {
+        decode_file(bytes).map_err(|diagnostics| OperatorConfigError::new(name, diagnostics))
+    }
+}
+
+fn decode_file(bytes: &[u8]) -> Result<OperatorConfig, Diagnostics> {
+    if bytes.len() > MAX_FILE_BYTES {
+        return Err(Diagnostic::of_file(DiagnosticKind::FileTooLong { max_bytes: MAX_FILE_BYTES }).into());
     }
+    let text =
+        std::str::from_utf8(bytes).map_err(|error| Diagnostic::of_file(DiagnosticKind::NotUtf8(error)))?;
+    let schema = parser::parse(SCHEMA).map_err(|diagnostic| {
+        Diagnostic::of_file(DiagnosticKind::InvalidSchema(Box::new(diagnostic.kind)))
+    })?;
+    let file = parser::parse(text)?;
+    let tree = evaluate::evaluate(&schema, &file)?;
+    decode::decode(&tree)
 }
--- a/crates/operator-config/src/schema.cue
+++ b/crates/operator-config/src/schema.cue
@@ -16,7 +16,7 @@
 	at?:  =~"^[0-9a-fA-F.:\\[\\]]+:[0-9]+$"
 }
 
-// A network in which boxes may lie, and the zone of what lies in it.
+// A network in which endpoints may lie, and the zone of what lies in it.
 #Network: {
 	prefix!: =~"^[0-9a-fA-F.:]+/[0-9]{1,3}$"
 	zone:    string | *""
@@ -34,7 +34,7 @@
 	key!:         #Path
 }
 
-// What this pooler says of itself in the registry.
+// How this pooler registers itself: the lease is renewed every 'renew' and ends 'expires' after the last renewal.
 #Own: {
 	app!:    #Word
 	id?:     #Word
@@ -44,28 +44,28 @@
 
 // A registry that speaks Eureka's REST API.
 #Registry: {
-	// Asked in this order; the next one when one fails.
+	// Polled in this order; the next one when one fails.
 	servers!: [...#Server]
-	// The applications whose instances are boxes.
+	// The applications whose instances are endpoints.
 	apps!: [...#Word]
-	// Where boxes may lie. What lies elsewhere gets nothing.
+	// Where endpoints may lie. What lies elsewhere gets no requests.
 	networks!: [...#Network]
-	// What is asked for: 'delta' follows changes, 'full' reads all each time, 'app' and 'vip' read what is named there.
+	// What a poll fetches: 'delta' the changes, 'full' all applications, 'app' and 'vip' what is named there.
 	read: *"delta" | "full" | "app" | "vip"
-	// The virtual address, where 'vip' is read.
+	// The virtual address that 'vip' fetches.
 	vip: #Word | *""
-	// How often.
+	// Between two polls.
 	interval: #Duration | *"30s"
-	// A call may take so long, and the longest pause while all servers fail.
+	// How long a call may take, and the longest backoff while all servers fail.
 	patience:      #Duration | *"10s"
 	longest_pause: #Duration | *"60s"
-	// A larger body is not read.
+	// A larger response body is not read.
 	most_body: #Size | *"64MB"
-	// A list that lacks more than this share of the boxes in service is not believed, nor is an empty one,
+	// A snapshot that lacks more than this fraction of the active endpoints is not believed, nor is an empty one,
 	lost_share: number & >=0 & <=1 | *0.5
-	// until it has told the same for so long; "never" for ever.
+	// until the loss has lasted this long; "never" believes none.
 	believe_after: #Duration | *"never"
-	// Once an override is taken back: 'registration' waits for the box to register anew, 'override' takes it as lifted.
+	// What ends a drain by an override: 'registration' waits for a new registration, 'override' for its removal.
 	lifts: *"registration" | "override"
 	// The metadata keys that hold these.
 	metadata: {
@@ -74,19 +74,19 @@
 		role:    string | *"role"
 		started: string | *"startedAtMs"
 	}
-	// The role of a primary, and the group of who names none.
+	// The role of a primary, and the group of instances that name none.
 	primary: string | *"primary"
 	group?:  int & >=0 & <=1000000
-	// Whether boxes are reached on their secure port.
+	// Whether endpoints are reached on their secure port.
 	secure_port: bool | *false
 	user?:       #User
-	// Who may vouch for servers, where these speak TLS.
+	// The certificate authorities that are trusted, where servers speak TLS.
 	ca?:       #Path
 	identity?: #Identity
 	register?: #Own
 }
 
-// What is written to standard error.
+// The log on standard error.
 #Log: {
 	level:  "error" | "warn" | *"info" | "debug"
 	format: *"text" | "json"
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,14 +1,14 @@
-//! Files that are good, and files that are not: each fault with its place.
+//! Valid files, and invalid ones: each error with its position.
 
-use pooler_operator_config::{Operator, ReadWhat};
+use pooler_operator_config::{FetchMode, LogLevel, OperatorConfig, OperatorConfigError};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 package pooler
 
-// A registry beside the platform's list.
+// A registry beside the platform's discovery.
 registry: {
 	servers: [{url: "http://127.0.0.1:8761/eureka"}, {
 		url: "https://registry.example/eureka"
@@ -22,33 +22,36 @@
 log: level: "warn"
 "#;
 
-fn decode(text: &str) -> Result<Operator, String> {
-    Operator::decode("operator.cue", text.as_bytes()).map_err(|faults| faults.to_string())
+fn decode(text: &str) -> Result<OperatorConfig, OperatorConfigError> {
+    OperatorConfig::decode("operator.cue", text.as_bytes())
 }
 
-fn good() -> String {
-    GOOD.replace("log: level: \"warn\"", "log: {level: \"warn\"}\n_pooler: {app: \"POOLER\", renew: \"10s\"}")
+fn valid() -> String {
+    VALID
+        .replace("log: level: \"warn\"", "log: {level: \"warn\"}\n_pooler: {app: \"POOLER\", renew: \"10s\"}")
 }
 
 #[test]
-fn a_file_is_read_with_its_defaults() {
-    let operator = decode(&good()).unwrap();
-    let registry = operator.registry.unwrap();
-    assert_eq!(registry.interval, Duration::from_secs(5));
-    assert_eq!(registry.patience, Duration::from_secs(10));
-    assert_eq!((registry.lost_share, registry.believe_after, registry.read), (0.25, None, ReadWhat::Delta));
-    assert_eq!(registry.servers[1].at.unwrap().port(), 8443);
+fn missing_settings_have_defaults() {
+    let config = decode(&valid()).unwrap();
+    let registry = config.registry.unwrap();
+    assert_eq!(registry.poll_interval, Duration::from_secs(5));
+    assert_eq!(registry.call_timeout, Duration::from_secs(10));
+    assert_eq!((registry.max_missing_fraction, registry.accept_loss_after), (0.25, None));
+    assert_eq!(registry.fetch_mode, FetchMode::Delta);
+    assert_eq!(registry.servers[1].address.unwrap().port(), 8443);
     assert_eq!(registry.networks[1].prefix.to_string(), "fd00::/8");
-    assert_eq!(registry.most_body, 64 << 20);
-    assert_eq!(registry.metadata.group, "group");
-    let own = registry.register.unwrap();
-    assert_eq!((own.renew, own.expires), (Duration::from_secs(10), Duration::from_secs(90)));
-    assert_eq!(operator.log.level, "warn");
-    assert_eq!(decode("").unwrap(), Operator::default(), "nothing in it, nothing wanted");
+    assert_eq!(registry.max_body_bytes, 64 << 20);
+    assert_eq!(registry.metadata_keys.group, "group");
+    let registration = registry.registration.unwrap();
+    assert_eq!(registration.renewal_interval, Duration::from_secs(10));
+    assert_eq!(registration.lease_duration, Duration::from_secs(90));
+    assert_eq!(config.log.level, LogLevel::Warn);
+    assert_eq!(decode("").unwrap(), OperatorConfig::default(), "an empty file configures nothing");
 }
 
 #[test]
-fn each_fault_is_told_with_its_place() {
+fn each_error_is_reported_with_its_position() {
     let cases = [
         (
             "interval: \"5s\"",
@@ -79,35 +82,36 @@
         ("log:", "#Own: {}\nlog:", "15:1: '#Own' is defined already"),
         ("\"5s\"", "_loop\n", "it refers to itself"),
     ];
-    for (from, to, told) in cases {
+    for (from, to, expected) in cases {
         let text =
-            good().replacen(from, to, 1) + if to.starts_with("_loop") { "\n_loop: _loop\n" } else { "" };
-        let faults = decode(&text).expect_err(to);
-        assert!(faults.contains(told), "'{to}' gives\n{faults}\nand not\n{told}");
+            valid().replacen(from, to, 1) + if to.starts_with("_loop") { "\n_loop: _loop\n" } else { "" };
+        let message = decode(&text).expect_err(to).to_string();
+        assert!(message.contains(expected), "'{to}' gives\n{message}\nand not\n{expected}");
     }
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
-    let text = good().replace("\"5s\"", "7").replace("0.25", "2").replace("\"warn\"", "3");
-    let faults = Operator::decode("f", text.as_bytes()).unwrap_err().faults;
-    assert_eq!(faults.iter().map(|fault| fault.place.line).collect::<Vec<_>>(), [11, 12, 15]);
+fn all_errors_are_reported_at_once() {
+    let text = valid().replace("\"5s\"", "7").replace("0.25", "2").replace("\"warn\"", "3");
+    let error = decode(&text).unwrap_err();
+    let lines: Vec<usize> = error.diagnostics().iter().map(|diagnostic| diagnostic.position.line).collect();
+    assert_eq!(lines, [11, 12, 15]);
 }
 
 #[test]
-fn what_goes_too_deep_or_is_too_long_is_an_error_and_no_end() {
+fn too_deep_nesting_and_too_long_files_are_errors() {
     for text in ["[".repeat(100_000), format!("a: {}", "{b: ".repeat(5_000)), "a: (".repeat(9_999)] {
-        assert!(decode(&text).unwrap_err().contains("deep"));
+        assert!(decode(&text).unwrap_err().to_string().contains("deep"));
     }
-    assert!(decode(&"// long\n".repeat(40_000)).unwrap_err().contains("longer than"));
+    assert!(decode(&"// long\n".repeat(40_000)).unwrap_err().to_string().contains("longer than"));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), failure_persistence: None, cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_file_makes_it_panic(cut in 0..700_usize, junk in "[ -~\\n]{0,12}", keep in any::<bool>()) {
-        let text = good();
+    fn arbitrary_files_never_panic(cut in 0..700_usize, junk in "[ -~\\n]{0,12}", keep in any::<bool>()) {
+        let text = valid();
         let cut = cut.min(text.len());
         let rest = if keep { &text[cut..] } else { "" };
         let _ = decode(&format!("{}{junk}{rest}", &text[..cut]));
--- a/crates/pooler/src/commands/check.rs
+++ b/crates/pooler/src/commands/check.rs
@@ -3,7 +3,7 @@
 use crate::cli::CheckArguments;
 use crate::error::CommandError;
 use crate::registry_config::registry_config;
-use pooler_operator_config::{Operator, SCHEMA};
+use pooler_operator_config::{OperatorConfig, SCHEMA};
 use pooler_proxy::config::Config;
 use std::path::Path;
 
@@ -25,7 +25,7 @@
 
 /// Checks the operator's file, and the files that it names.
 fn check_operator_file(path: &Path) -> Result<(), CommandError> {
-    let operator = Operator::load(path)?;
+    let operator = OperatorConfig::load(path)?;
     if let Some(settings) = &operator.registry {
         registry_config(settings, None)?.client()?;
     }
--- a/crates/pooler/src/commands/list_endpoints.rs
+++ b/crates/pooler/src/commands/list_endpoints.rs
@@ -4,7 +4,7 @@
 use crate::error::CommandError;
 use crate::registry_config::registry_config;
 use futures_lite::future::block_on;
-use pooler_operator_config::Operator;
+use pooler_operator_config::OperatorConfig;
 use pooler_routing::membership::{Membership, MergeResult, ResolvedEndpoint, SourceId, WatchEvent};
 use pooler_routing::{EndpointId, Lifecycle, TimeDelta, Timestamp};
 use pooler_service_registry::client::CallError;
@@ -21,7 +21,7 @@
 
 /// Polls the registry of an operator's file once, and prints its endpoints.
 pub fn list_endpoints(arguments: &ListEndpointsArguments) -> Result<(), CommandError> {
-    let operator = Operator::load(&arguments.operator)?;
+    let operator = OperatorConfig::load(&arguments.operator)?;
     let settings = operator.registry.ok_or(CommandError::NoRegistry)?;
     let config = registry_config(&settings, None)?;
     let servers = config.servers.len();
--- a/crates/pooler/src/commands/run.rs
+++ b/crates/pooler/src/commands/run.rs
@@ -3,7 +3,7 @@
 use crate::cli::RunArguments;
 use crate::error::CommandError;
 use crate::{logging, registry_discovery};
-use pooler_operator_config::Operator;
+use pooler_operator_config::OperatorConfig;
 use pooler_proxy::Pooler;
 use pooler_proxy::config::Config;
 
@@ -11,8 +11,8 @@
 pub fn run(arguments: RunArguments) -> Result<(), CommandError> {
     let config_file = arguments.config.ok_or(CommandError::MissingConfig)?;
     let operator = match &arguments.operator {
-        None => Operator::default(),
-        Some(path) => Operator::load(path)?,
+        None => OperatorConfig::default(),
+        Some(path) => OperatorConfig::load(path)?,
     };
     let config = Config::load_at_start(&config_file)?;
     logging::start(&operator.log);
--- a/crates/pooler/src/error.rs
+++ b/crates/pooler/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a command failed, and the exit code for it.
 
-use pooler_operator_config::Faults;
+use pooler_operator_config::OperatorConfigError;
 use pooler_proxy::RunError;
 use pooler_proxy::config::ConfigError;
 use pooler_service_registry::client::{CallError, SetupError};
@@ -21,7 +21,7 @@
     #[error("no registry stands in this file")]
     NoRegistry,
     #[error(transparent)]
-    OperatorFile(#[from] Faults),
+    OperatorFile(#[from] OperatorConfigError),
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
--- a/crates/pooler/src/logging.rs
+++ b/crates/pooler/src/logging.rs
@@ -1,6 +1,6 @@
 //! The log on standard error: text, or one JSON object a line.
 
-use pooler_operator_config::{LogFormat, LogSettings};
+use pooler_operator_config::{LogFormat, LogLevel, LogSettings};
 use std::io::{self, Write};
 use tracing::Level;
 
@@ -20,11 +20,11 @@
 
 /// Installs the log for the rest of the process.
 pub fn start(settings: &LogSettings) {
-    let level = match settings.level.as_str() {
-        "error" => Level::ERROR,
-        "warn" => Level::WARN,
-        "debug" => Level::DEBUG,
-        _ => Level::INFO,
+    let level = match settings.level {
+        LogLevel::Error => Level::ERROR,
+        LogLevel::Warn => Level::WARN,
+        LogLevel::Info => Level::INFO,
+        LogLevel::Debug => Level::DEBUG,
     };
     let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
--- a/crates/pooler/src/registry_config.rs
+++ b/crates/pooler/src/registry_config.rs
@@ -1,6 +1,6 @@
 //! From the operator's settings to the configuration of the registry client.
 
-use pooler_operator_config::{ReadWhat, RegistrySettings};
+use pooler_operator_config::{FetchMode, RegistrySettings};
 use pooler_routing::TimeDelta;
 use pooler_routing::membership::SelfPreservation;
 use pooler_service_registry::client::{
@@ -37,21 +37,21 @@
     settings: &RegistrySettings,
     pooler: Option<PoolerIdentity<'_>>,
 ) -> Result<RegistryConfig, SetupError> {
-    let servers = settings.servers.iter().map(|server| RegistryServer::new(&server.url, server.at));
+    let servers = settings.servers.iter().map(|server| RegistryServer::new(&server.url, server.address));
     Ok(RegistryConfig {
         servers: servers.collect::<Result<_, _>>()?,
         credentials: credentials(settings),
-        call_timeout: settings.patience,
+        call_timeout: settings.call_timeout,
         polling: PollSettings {
-            interval: time_delta(settings.interval),
-            max_backoff: time_delta(settings.longest_pause),
-            use_deltas: settings.read == ReadWhat::Delta,
+            interval: time_delta(settings.poll_interval),
+            max_backoff: time_delta(settings.max_backoff),
+            use_deltas: settings.fetch_mode == FetchMode::Delta,
         },
-        max_body_bytes: settings.most_body,
+        max_body_bytes: settings.max_body_bytes,
         mapping: mapping(settings),
         self_preservation: SelfPreservation {
-            max_missing_fraction: settings.lost_share,
-            accept_after: settings.believe_after.map(time_delta),
+            max_missing_fraction: settings.max_missing_fraction,
+            accept_after: settings.accept_loss_after.map(time_delta),
         },
         snapshot_path: snapshot_path(settings),
         self_registration: pooler.and_then(|pooler| self_registration(settings, pooler)),
@@ -63,11 +63,11 @@
         .user
         .as_ref()
         .map(|user| BasicCredentials { user: user.name.clone(), password_file: user.password_file.clone() });
-    let identity = settings.identity.as_ref().map(|(certificate_file, key_file)| ClientIdentity {
-        certificate_file: certificate_file.clone(),
-        key_file: key_file.clone(),
+    let identity = settings.identity.as_ref().map(|identity| ClientIdentity {
+        certificate_file: identity.certificate_file.clone(),
+        key_file: identity.key_file.clone(),
     });
-    Credentials { basic, ca_file: settings.ca.clone(), identity }
+    Credentials { basic, ca_file: settings.ca_file.clone(), identity }
 }
 
 fn mapping(settings: &RegistrySettings) -> InstanceMapping {
@@ -75,43 +75,46 @@
     for network in &settings.networks {
         networks.add(network.prefix, network.zone.as_deref().map(Arc::from));
     }
-    let drain_release =
-        if settings.lifts_overrides { DrainRelease::OverrideRemoval } else { DrainRelease::Registration };
+    let drain_release = if settings.accept_override_removal {
+        DrainRelease::OverrideRemoval
+    } else {
+        DrainRelease::Registration
+    };
     InstanceMapping {
         // Eureka writes application names in upper case.
         apps: settings.apps.iter().map(|app| app.to_ascii_uppercase()).collect(),
         networks,
-        group_key: settings.metadata.group.clone(),
-        default_group: settings.group,
-        zone_key: settings.metadata.zone.clone(),
-        role_key: settings.metadata.role.clone(),
-        primary_role: settings.primary.clone(),
-        started_key: settings.metadata.started.clone(),
-        use_secure_port: settings.secure_port,
+        group_key: settings.metadata_keys.group.clone(),
+        default_group: settings.default_group,
+        zone_key: settings.metadata_keys.zone.clone(),
+        role_key: settings.metadata_keys.role.clone(),
+        primary_role: settings.primary_role.clone(),
+        started_key: settings.metadata_keys.started.clone(),
+        use_secure_port: settings.use_secure_port,
         drain_release,
     }
 }
 
 fn snapshot_path(settings: &RegistrySettings) -> String {
-    match settings.read {
-        ReadWhat::Delta | ReadWhat::Full => ALL_APPS_PATH.to_owned(),
-        ReadWhat::App => {
+    match settings.fetch_mode {
+        FetchMode::Delta | FetchMode::Full => ALL_APPS_PATH.to_owned(),
+        FetchMode::App => {
             let app = settings.apps.first().map_or("", String::as_str);
             format!("{ALL_APPS_PATH}/{app}")
         }
-        ReadWhat::Vip => format!("/vips/{}", settings.vip),
+        FetchMode::Vip => format!("/vips/{}", settings.vip_address),
     }
 }
 
 fn self_registration(settings: &RegistrySettings, pooler: PoolerIdentity<'_>) -> Option<SelfRegistration> {
-    let registration = settings.register.as_ref()?;
+    let registration = settings.registration.as_ref()?;
     let default_id = || id_for_url(&format!("{}:{}", pooler.name, pooler.address));
     Some(SelfRegistration {
         app: registration.app.clone(),
         id: registration.id.clone().unwrap_or_else(default_id),
         address: pooler.address,
-        renewal_interval: time_delta(registration.renew),
-        lease_duration: time_delta(registration.expires),
+        renewal_interval: time_delta(registration.renewal_interval),
+        lease_duration: time_delta(registration.lease_duration),
     })
 }
 
--- a/deploy/operator.example.cue
+++ b/deploy/operator.example.cue
@@ -2,16 +2,16 @@
 package pooler
 
 registry: {
-	// Asked in this order; the next one when one fails.
+	// Polled in this order; the next one when one fails.
 	servers: [{url: "http://127.0.0.1:8761/eureka"}]
-	// The applications whose instances are boxes.
+	// The applications whose instances are endpoints.
 	apps: ["DB"]
-	// Where boxes may lie, and in which zone.
+	// Where endpoints may lie, and in which zone.
 	networks: [
 		{prefix: "127.0.0.0/8", zone: "adum"},
 	]
 	interval: "5s"
-	// A list that lacks more than this share of the boxes is not believed, for ever.
+	// A snapshot that lacks more than this fraction of the active endpoints is never believed.
 	lost_share:    0.5
 	believe_after: "never"
 	metadata: {group: "group", role: "role", zone: "zone", started: "startedAtMs"}
