--- a/crates/proxy/src/server/pool.rs
+++ b/crates/proxy/src/server/pool.rs
@@ -18,7 +18,7 @@
 /// The fraction of the servers' idle timeout after which the pool closes an idle connection: a server that closes it
 /// while a request is on its way loses that request.
 const IDLE_FRACTION: f64 = 2.0 / 3.0;
-/// The interval at which useless idle connections are closed.
+/// The interval at which idle connections that can't be reused are closed.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
 /// The longest wait for a resource before it is tried again.
 const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(20);
