--- a/crates/routing/src/router/attempt_plan.rs
+++ b/crates/routing/src/router/attempt_plan.rs
@@ -1,8 +1,7 @@
-//! Whether a request is still worth an attempt, and how an attempt is sent. Nothing is changed here.
+//! Whether a request should still be dispatched, and how an attempt is sent. Nothing is changed here.
 
 use super::cluster_view::ClusterView;
-use super::endpoints::Endpoint;
-use super::in_flight::OVERDUE_DEVIATIONS;
+use super::endpoint::Endpoint;
 use super::overload::{SEVERE_OVERLOAD, SHEDDING_START};
 use super::requests::PendingRequest;
 use crate::{Idempotency, Operation, Role, TimeDelta, Timestamp};
@@ -10,7 +9,7 @@
 /// An attempt is retried or hedged no sooner than after this fraction of the objective: a short guess of the
 /// latency would double the work.
 const MIN_PATIENCE: f64 = 0.3;
-/// Mean deviations above the mean latency that a read must have left to be worth dispatching.
+/// Mean deviations above the mean latency that a read must have left to be dispatched.
 const HOPELESS_DEVIATIONS: f64 = 3.0;
 /// The fraction of new requests that this is demanded of under severe overload. If it were all, no response
 /// would show that the overload has passed.
@@ -30,7 +29,7 @@
 
 impl ClusterView<'_> {
     /// Whether a request that has no attempt in flight should be sent, or sent again.
-    pub(super) fn is_worth_dispatching(&self, request: &PendingRequest, chance: f64) -> bool {
+    pub(super) fn should_dispatch(&self, request: &PendingRequest, chance: f64) -> bool {
         let is_idempotent = self.class_of(request).idempotency == Idempotency::Idempotent;
         request.attempt_count() < self.settings.max_attempts
             && (is_idempotent || !request.may_have_run())
@@ -51,8 +50,8 @@
             return false;
         }
         let needed = self.latency.of(request.class()).quantile_bound(HOPELESS_DEVIATIONS);
-        let is_worth_late = class.late_weight > 0.0;
-        let latest = if is_worth_late { request.deadline() } else { request.objective_at() };
+        let counts_when_late = class.late_weight > 0.0;
+        let latest = if counts_when_late { request.deadline() } else { request.objective_at() };
         request.has_queued_too_long(self.now) || self.now + needed >= latest
     }
 
@@ -68,7 +67,7 @@
         let class = self.class_of(request);
         let latency = self.latency.of(request.class());
         let min_patience = class.latency_objective.mul_f64(MIN_PATIENCE);
-        let patience = latency.quantile_bound(OVERDUE_DEVIATIONS).max(min_patience);
+        let patience = latency.overdue_after().max(min_patience);
         let is_repeatable = class.idempotency == Idempotency::Idempotent
             && self.now + patience + latency.typical() < request.objective_at()
             && self.overload_ratio(endpoint.group(), endpoint.role()) < SHEDDING_START;
--- a/crates/routing/src/router/cluster_view.rs
+++ b/crates/routing/src/router/cluster_view.rs
@@ -2,7 +2,8 @@
 //! them.
 
 use super::demand::Demand;
-use super::endpoints::{Endpoint, Endpoints};
+use super::endpoint::Endpoint;
+use super::endpoints::Endpoints;
 use super::fleet_clock::FleetClock;
 use super::freshness::required_position;
 use super::latency::LatencyEstimates;
--- a/crates/routing/src/router/concurrency.rs
+++ b/crates/routing/src/router/concurrency.rs
@@ -1,4 +1,4 @@
-//! The concurrency limit of an endpoint, as this router sees it: it grows with responses in good time, and
+//! The concurrency limit of an endpoint, as this router sees it: it grows with timely responses, and
 //! shrinks with rejections and with responses that come late.
 
 #[cfg(test)]
@@ -62,7 +62,7 @@
         self.limit = MIN_LIMIT;
     }
 
-    /// Records a success. If the response came in good time and the limit is nearly in use, the limit grows.
+    /// Records a success. If the response was not slow and the limit is nearly in use, the limit grows.
     pub(super) fn record_success(&mut self, now: Timestamp, elapsed: TimeDelta, work: f64, is_slow: bool) {
         if is_slow {
             self.lower(now, elapsed, work);
--- a/crates/routing/src/router/dispatch.rs
+++ b/crates/routing/src/router/dispatch.rs
@@ -34,7 +34,7 @@
         let chance = self.random.unit_interval();
         let Some(request) = self.requests.get(id) else { return };
         let view = self.view(now);
-        if !view.is_worth_dispatching(request, chance) {
+        if !view.should_dispatch(request, chance) {
             self.give_up(now, id, actions);
             return;
         }
--- a/crates/routing/src/router/endpoint_outcomes.rs
+++ b/crates/routing/src/router/endpoint_outcomes.rs
@@ -11,7 +11,7 @@
 use crate::{AttemptOutcome, EndpointId, GroupId, Role, StaleReadPolicy, TimeDelta, Timestamp};
 
 /// The fraction of the objective within which an endpoint that is not overloaded responds; 0.6 was tried.
-const GOOD_TIME: f64 = 0.4;
+const TIMELY_FRACTION: f64 = 0.4;
 
 /// An attempt or a health check that completed.
 pub(super) struct CompletedAttempt {
@@ -39,8 +39,8 @@
     /// It responded to other attempts since this one was sent.
     has_responded_meanwhile: bool,
     /// The usual latency of the class.
-    usual: Option<LatencyEstimate>,
-    /// The response came late, or was a rejection.
+    class_latency: Option<LatencyEstimate>,
+    /// The response was late, or a rejection.
     is_late: bool,
 }
 
@@ -99,8 +99,8 @@
                 endpoint.work.record_response(now);
             }
             AttemptOutcome::Cancelled | AttemptOutcome::Timeout => {
-                if let Some(usual) = context.usual {
-                    let remaining = usual.typical().mul_f64(endpoint.slowness.factor(now));
+                if let Some(latency) = context.class_latency {
+                    let remaining = latency.typical().mul_f64(endpoint.slowness.factor(now));
                     endpoint.work.record_abandoned(now, remaining);
                 }
             }
@@ -161,7 +161,7 @@
 
     fn record_rejection(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
         let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) else { return };
-        let usual_latency = context.usual.map(|usual| usual.typical());
+        let usual_latency = context.class_latency.map(|latency| latency.typical());
         endpoint.concurrency.lower(now, completed.elapsed, context.work);
         endpoint.concurrency.back_off(now, usual_latency, completed.is_write);
     }
@@ -187,11 +187,11 @@
     }
 
     fn record_latency(&mut self, now: Timestamp, completed: &CompletedAttempt, context: &OutcomeContext) {
-        let Some((attempt, usual)) = completed.attempt.zip(context.usual) else { return };
+        let Some((attempt, latency)) = completed.attempt.zip(context.class_latency) else { return };
         let shows_latency = match completed.outcome {
             AttemptOutcome::Ok => true,
             AttemptOutcome::Timeout => {
-                !context.was_overtaken && Microseconds::from(completed.elapsed) >= usual.mean()
+                !context.was_overtaken && Microseconds::from(completed.elapsed) >= latency.mean()
             }
             _ => false,
         };
@@ -199,7 +199,7 @@
             return;
         }
         if let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) {
-            endpoint.slowness.observe(now, completed.elapsed, &usual);
+            endpoint.slowness.observe(now, completed.elapsed, &latency);
         }
         self.latency.observe(attempt.class, completed.elapsed);
     }
@@ -235,7 +235,7 @@
             slow_start_tokens: self.slow_start_tokens(endpoint),
             was_overtaken: completed.attempt.as_ref().is_some_and(was_overtaken),
             has_responded_meanwhile: work.has_responded_since(self.now - completed.elapsed),
-            usual: completed.attempt.map(|attempt| *self.latency.of(attempt.class)),
+            class_latency: completed.attempt.map(|attempt| *self.latency.of(attempt.class)),
             is_late: self.is_late(completed),
         })
     }
@@ -245,7 +245,7 @@
         let objective = class.map_or(TimeDelta::ZERO, |class| class.latency_objective);
         match completed.outcome {
             AttemptOutcome::Rejected => true,
-            AttemptOutcome::Ok => completed.elapsed > objective.mul_f64(GOOD_TIME),
+            AttemptOutcome::Ok => completed.elapsed > objective.mul_f64(TIMELY_FRACTION),
             _ => false,
         }
     }
--- a/crates/routing/src/router/endpoints.rs
+++ b/crates/routing/src/router/endpoints.rs
@@ -1,131 +1,14 @@
-//! The endpoints and their groups. Each endpoint holds what the other parts keep for it.
+//! The endpoints and their groups.
 
 use super::concurrency::ConcurrencyLimit;
+use super::endpoint::Endpoint;
 use super::fleet_clock::FleetClock;
-use super::freshness::ReplicaFreshness;
-use super::in_flight::EndpointWork;
-use super::latency::Slowness;
-use super::outlier_detection::FailureScore;
 use super::overload::OverloadRatios;
-use super::primary::{GroupPrimary, RoleEvidence};
+use super::primary::GroupPrimary;
 use super::queue::RequestQueue;
-use super::slow_start::{ListedStart, WarmUp};
-use crate::primary_search::SearchTarget;
-use crate::{EndpointEntry, EndpointId, GroupId, Lifecycle, Role, Timestamp};
+use crate::{EndpointEntry, EndpointId, GroupId, Lifecycle, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An endpoint.
-#[derive(Clone, Debug)]
-pub(super) struct Endpoint {
-    id: EndpointId,
-    group: GroupId,
-    lifecycle: Lifecycle,
-    is_listed_primary: bool,
-    /// When its last health check was sent.
-    health_checked_at: Timestamp,
-    pub(super) freshness: ReplicaFreshness,
-    pub(super) role_evidence: RoleEvidence,
-    pub(super) work: EndpointWork,
-    pub(super) slowness: Slowness,
-    pub(super) failures: FailureScore,
-    pub(super) concurrency: ConcurrencyLimit,
-    pub(super) warm_up: WarmUp,
-}
-
-impl Endpoint {
-    /// An endpoint of which nothing is known yet.
-    fn new(id: EndpointId, group: GroupId, concurrency: ConcurrencyLimit) -> Self {
-        Self {
-            id,
-            group,
-            lifecycle: Lifecycle::Removed,
-            is_listed_primary: false,
-            health_checked_at: Timestamp::default(),
-            freshness: ReplicaFreshness::default(),
-            role_evidence: RoleEvidence::default(),
-            work: EndpointWork::default(),
-            slowness: Slowness::default(),
-            failures: FailureScore::default(),
-            concurrency,
-            warm_up: WarmUp::default(),
-        }
-    }
-
-    /// Its identifier.
-    pub(super) fn id(&self) -> &EndpointId {
-        &self.id
-    }
-
-    /// Its group.
-    pub(super) fn group(&self) -> GroupId {
-        self.group
-    }
-
-    /// The role that it was last shown to have.
-    pub(super) fn role(&self) -> Role {
-        self.role_evidence.role()
-    }
-
-    /// Whether the endpoint list shows it as the primary.
-    pub(super) fn is_listed_primary(&self) -> bool {
-        self.is_listed_primary
-    }
-
-    /// Whether the endpoint list permits to send it anything new; with `soft_removal`, a removed one is
-    /// permitted.
-    pub(super) fn accepts_new_work(&self, soft_removal: bool) -> bool {
-        match self.lifecycle {
-            Lifecycle::Active => true,
-            Lifecycle::Draining => false,
-            Lifecycle::Removed => soft_removal,
-        }
-    }
-
-    /// When its last health check was sent.
-    pub(super) fn health_checked_at(&self) -> Timestamp {
-        self.health_checked_at
-    }
-
-    /// A health check is sent.
-    pub(super) fn record_health_check(&mut self, now: Timestamp) {
-        self.health_checked_at = now;
-    }
-
-    /// It has just started: it is cold, and has the lowest concurrency limit.
-    pub(super) fn restart(&mut self, now: Timestamp, tokens: f64) {
-        self.warm_up.restart(now, now, tokens);
-        self.concurrency.reset();
-    }
-
-    /// Records the start that the endpoint list shows.
-    pub(super) fn observe_listed_start(&mut self, now: Timestamp, start: ListedStart, clock: &FleetClock) {
-        if self.warm_up.observe_listed_start(now, start, clock) {
-            self.concurrency.reset();
-        }
-    }
-
-    fn redate_listed_start(&mut self, now: Timestamp, clock: &FleetClock) {
-        if self.warm_up.redate_listed_start(now, clock) {
-            self.concurrency.reset();
-        }
-    }
-
-    fn is_active(&self) -> bool {
-        self.lifecycle == Lifecycle::Active
-    }
-
-    /// A removal does not override a drain, which remains binding.
-    fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
-        if self.lifecycle != Lifecycle::Draining || lifecycle == Lifecycle::Active {
-            self.lifecycle = lifecycle;
-        }
-    }
-
-    fn is_evictable(&self) -> bool {
-        !self.is_active() && self.work.is_idle()
-    }
-}
-
 /// A replication group.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Group {
@@ -207,21 +90,23 @@
         self.groups.entry(entry.group).or_default().endpoints.insert(entry.endpoint.clone());
         let new = || Endpoint::new(entry.endpoint.clone(), entry.group, initial_limit);
         let endpoint = self.endpoints.entry(entry.endpoint.clone()).or_insert_with(new);
-        let previous_group = std::mem::replace(&mut endpoint.group, entry.group);
+        let was_active = endpoint.is_active();
+        let previous_group = endpoint.update(entry);
         if previous_group != entry.group
             && let Some(group) = self.groups.get_mut(&previous_group)
         {
             group.remove_endpoint(&entry.endpoint);
         }
-        endpoint.is_listed_primary = entry.primary;
-        update_lifecycle(endpoint, entry.lifecycle, &mut self.active_count);
+        self.active_count -= usize::from(was_active);
+        self.active_count += usize::from(endpoint.is_active());
         endpoint
     }
 
     /// Removes from service the endpoints that a snapshot of the endpoint list does not contain.
     pub(super) fn remove_unlisted(&mut self, listed: &BTreeSet<EndpointId>) {
-        for endpoint in self.endpoints.values_mut().filter(|endpoint| !listed.contains(&endpoint.id)) {
-            update_lifecycle(endpoint, Lifecycle::Removed, &mut self.active_count);
+        for endpoint in self.endpoints.values_mut().filter(|endpoint| !listed.contains(endpoint.id())) {
+            self.active_count -= usize::from(endpoint.is_active());
+            endpoint.set_lifecycle(Lifecycle::Removed);
         }
     }
 
@@ -231,7 +116,7 @@
             let Some(endpoint) = self.endpoints.get(id).filter(|endpoint| endpoint.is_evictable()) else {
                 continue;
             };
-            if let Some(group) = self.groups.get_mut(&endpoint.group) {
+            if let Some(group) = self.groups.get_mut(&endpoint.group()) {
                 group.remove_endpoint(id);
             }
             self.endpoints.remove(id);
@@ -271,21 +156,8 @@
     ) -> Vec<EndpointId> {
         let Some(group) = self.groups.get_mut(&group) else { return Vec::new() };
         let endpoints = group.endpoints.iter().map(|id| &self.endpoints[id]);
-        let targets: Vec<_> = endpoints
-            .filter(|endpoint| endpoint.accepts_new_work(soft_removal))
-            .map(|endpoint| SearchTarget {
-                endpoint: &endpoint.id,
-                position: endpoint.freshness.position(),
-                health_checked_at: endpoint.health_checked_at,
-                was_primary: endpoint.role() == Role::Primary,
-            })
-            .collect();
+        let usable = endpoints.filter(|endpoint| endpoint.accepts_new_work(soft_removal));
+        let targets: Vec<_> = usable.map(Endpoint::search_target).collect();
         group.primary.continue_search(now, router_count, &targets)
     }
 }
-
-fn update_lifecycle(endpoint: &mut Endpoint, lifecycle: Lifecycle, active_count: &mut usize) {
-    *active_count -= usize::from(endpoint.is_active());
-    endpoint.set_lifecycle(lifecycle);
-    *active_count += usize::from(endpoint.is_active());
-}
--- a/crates/routing/src/router/freshness.rs
+++ b/crates/routing/src/router/freshness.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// How often the position of a lagging endpoint is worth a health check for a read.
+/// The interval between health checks of a lagging endpoint's position for a read.
 pub(super) fn check_interval(operation: Operation) -> TimeDelta {
     match operation {
         Operation::Read(Consistency::BoundedStaleness(bound)) => bound,
--- a/crates/routing/src/router/in_flight.rs
+++ b/crates/routing/src/router/in_flight.rs
@@ -8,8 +8,6 @@
 use crate::{AttemptNumber, ClassId, RequestId, SessionKey, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Mean deviations above the mean latency after which an attempt is overdue.
-pub(super) const OVERDUE_DEVIATIONS: f64 = 4.0;
 /// After how many times that an endpoint counts as silent; 1 was tried.
 const SILENCE_FACTOR: f64 = 2.0;
 /// What an attempt in flight counts for in the load at most, as a multiple of a usual response.
@@ -39,7 +37,7 @@
 
 impl InFlightAttempt {
     fn is_silent(&self, now: Timestamp, latency: &LatencyEstimates) -> bool {
-        let patience = latency.of(self.class).quantile_bound(OVERDUE_DEVIATIONS).mul_f64(SILENCE_FACTOR);
+        let patience = latency.of(self.class).overdue_after().mul_f64(SILENCE_FACTOR);
         now - self.sent_at > patience
     }
 }
--- a/crates/routing/src/router/latency.rs
+++ b/crates/routing/src/router/latency.rs
@@ -16,6 +16,8 @@
 const INITIAL_SAMPLES: f64 = 4.0;
 /// The number of responses that an estimate averages over.
 const MAX_SAMPLES: f64 = 33.0;
+/// Mean deviations above the mean latency after which an attempt is overdue.
+const OVERDUE_DEVIATIONS: f64 = 4.0;
 /// What the slowness of an endpoint keeps of its value with each response.
 const SLOWNESS_RETENTION: f64 = 0.9;
 /// The lower bound of the slowness.
@@ -63,6 +65,11 @@
         TimeDelta((self.mean.0 + deviations * self.mean_deviation.0) as i64)
     }
 
+    /// How long after it was sent an attempt is overdue.
+    pub(super) fn overdue_after(&self) -> TimeDelta {
+        self.quantile_bound(OVERDUE_DEVIATIONS)
+    }
+
     /// How many times the usual latency a duration is.
     pub(super) fn relative(&self, duration: TimeDelta) -> f64 {
         Microseconds::from(duration).0 / self.positive_mean().0
--- a/crates/routing/src/router/load_balancing.rs
+++ b/crates/routing/src/router/load_balancing.rs
@@ -5,7 +5,8 @@
 //! the believed primary.
 
 use super::cluster_view::ClusterView;
-use super::endpoints::{Endpoint, Group};
+use super::endpoint::Endpoint;
+use super::endpoints::Group;
 use super::freshness::check_interval;
 use super::overload::SEVERE_OVERLOAD;
 use super::requests::PendingRequest;
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -2,18 +2,18 @@
 //!
 //! Each part keeps one concern, in a type with private fields:
 //!
-//! - `endpoints`: the endpoints, their lifecycle and groups; it holds the parts that are kept by endpoint or
-//!   group.
-//! - `fleet_clock`, `freshness`, `primary`: what time it is for the fleet, how current data is, who the
-//!   primary is.
-//! - `in_flight`, `latency`, `outlier_detection`, `concurrency`, `slow_start`: how an endpoint does, and what
-//!   it may be sent.
+//! - `endpoint`, `endpoints`: the endpoints, their lifecycle and groups, which hold the parts that are kept
+//!   by endpoint and by group.
+//! - `fleet_clock`, `freshness`, `primary`: the fleet's time, how current data is, and which endpoint is
+//!   the primary.
+//! - `in_flight`, `latency`, `outlier_detection`, `concurrency`, `slow_start`: the state of an endpoint, and
+//!   what it may be sent.
 //! - `overload`, `demand`, `retry_budget`: the fleet's capacity and the demand for it.
 //! - `requests`, `queue`, `timers`: the requests, and when each must be looked at.
 //!
-//! `cluster_view`, `load_balancing` and `load_shedding` combine parts to answer questions, and change
-//! nothing. The modules that implement methods of [`Router`] handle events: only they change parts, by the
-//! parts' methods.
+//! `cluster_view`, `load_balancing`, `load_shedding` and `attempt_plan` combine parts to answer questions,
+//! and change nothing. The modules that implement methods of [`Router`] handle events: only they change
+//! parts, by the parts' methods.
 
 mod attempt_completion;
 mod attempt_plan;
@@ -23,6 +23,7 @@
 mod decaying;
 mod demand;
 mod dispatch;
+mod endpoint;
 mod endpoint_outcomes;
 mod endpoint_reports;
 mod endpoint_selection;
--- a/crates/routing/src/router/overload.rs
+++ b/crates/routing/src/router/overload.rs
@@ -65,7 +65,7 @@
         Self { late: f64::from(u8::from(is_late)), total: 1.0 }
     }
 
-    /// A lost response. Among responses in good time it shows no overload, among late ones it does.
+    /// A lost response. Among timely responses it shows no overload, among late ones it does.
     pub(super) fn lost_response(overload: f64) -> Self {
         Self { late: overload, total: overload }
     }
--- a/crates/routing/src/router/requests.rs
+++ b/crates/routing/src/router/requests.rs
@@ -35,7 +35,7 @@
     session: Option<SessionKey>,
     session_token: Option<Timestamp>,
     arrived_at: Timestamp,
-    /// Until when a response is worth the full priority weight.
+    /// Until when a response counts with the full priority weight.
     objective_at: Timestamp,
     deadline: Timestamp,
     attempts: Vec<Attempt>,
@@ -110,7 +110,7 @@
         self.arrived_at
     }
 
-    /// Until when a response is worth the full priority weight.
+    /// Until when a response counts with the full priority weight.
     pub(super) fn objective_at(&self) -> Timestamp {
         self.objective_at
     }
