--- a/crates/routing/src/router/attempt_plan.rs
+++ b/crates/routing/src/router/attempt_plan.rs
@@ -1,4 +1,5 @@
-//! Whether a request should still be dispatched, and how an attempt is sent. Nothing is changed here.
+//! Whether a request should still be dispatched, and how an attempt is sent. It reads the parts, and changes
+//! nothing.
 
 use super::cluster_view::ClusterView;
 use super::endpoint::Endpoint;
@@ -11,9 +12,9 @@
 const MIN_PATIENCE: f64 = 0.3;
 /// Mean deviations above the mean latency that a read must have left to be dispatched.
 const HOPELESS_DEVIATIONS: f64 = 3.0;
-/// The fraction of new requests that this is demanded of under severe overload. If it were all, no response
-/// would show that the overload has passed.
-const HOPELESS_NEW_FRACTION: f64 = 0.8;
+/// The fraction of new reads to which the same applies under severe overload. If it applied to all, no
+/// response would show that the overload has passed.
+const CHECKED_NEW_FRACTION: f64 = 0.8;
 
 /// How an attempt is sent.
 pub(super) struct AttemptPlan {
@@ -45,8 +46,8 @@
             return false;
         }
         let overload = self.overload_ratio(request.group(), Role::Replica);
-        let is_demanded_of_new = overload > SEVERE_OVERLOAD && chance < HOPELESS_NEW_FRACTION;
-        if !is_demanded_of_new && self.now <= request.arrived_at() {
+        let applies_to_new = overload > SEVERE_OVERLOAD && chance < CHECKED_NEW_FRACTION;
+        if !applies_to_new && self.now <= request.arrived_at() {
             return false;
         }
         let needed = self.latency.of(request.class()).quantile_bound(HOPELESS_DEVIATIONS);
--- a/crates/routing/src/router/load_balancing.rs
+++ b/crates/routing/src/router/load_balancing.rs
@@ -1,4 +1,4 @@
-//! Where a request goes. Nothing is changed here.
+//! Where a request goes. It reads the parts, and changes nothing.
 //!
 //! The read mechanism is Wu and Kemme's: a read goes to a random replica whose data is current enough; if the
 //! load of that one is over a threshold, to the first below it of the next [`FORWARD_STEPS`]. A write goes to
@@ -104,8 +104,8 @@
     /// The replicas whose data is current enough, and of those only the most preferred ones. Tried replicas
     /// and suspects are left out while there is a primary.
     fn current_replicas(&self) -> Vec<&'a Endpoint> {
-        let mut current = self.replicas.clone();
-        current.retain(|replica| self.view.may_serve(replica, self.required_position));
+        let is_current = |replica: &&Endpoint| self.view.may_serve(replica, self.required_position);
+        let mut current: Vec<_> = self.replicas.iter().copied().filter(is_current).collect();
         let lowest = current.iter().map(|replica| self.reluctance(replica)).min();
         let may_serve_reluctantly = lowest == Some(Reluctance::default()) || self.primary.is_none();
         current.retain(|replica| Some(self.reluctance(replica)) == lowest && may_serve_reluctantly);
