--- /dev/null
+++ b/crates/proxy/src/server/sqlstate.rs
@@ -0,0 +1,21 @@
+//! What a server's error codes tell about an attempt.
+
+use crate::protocol::SqlState;
+use pooler_routing::AttemptOutcome;
+
+/// The outcome of a statement to which a server responded with an error: only these codes prove that nothing ran.
+pub(super) fn statement_error_outcome(code: SqlState) -> AttemptOutcome {
+    match code {
+        SqlState::TOO_MANY_CONNECTIONS => AttemptOutcome::Rejected,
+        SqlState::READ_ONLY_SQL_TRANSACTION | SqlState::SNAPSHOT_TOO_OLD => AttemptOutcome::NotEligible,
+        _ => AttemptOutcome::Error,
+    }
+}
+
+/// The outcome of an attempt whose connection a server rejected with an error: nothing was sent, whatever the code.
+pub(super) fn connection_error_outcome(code: SqlState) -> AttemptOutcome {
+    match code {
+        SqlState::TOO_MANY_CONNECTIONS | SqlState::CANNOT_CONNECT_NOW => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::ConnectionLostBeforeSend,
+    }
+}
