--- a/crates/service-registry/src/eureka/instance/raw.rs
+++ b/crates/service-registry/src/eureka/instance/raw.rs
@@ -125,13 +125,13 @@
     pub(super) fn into_instance(self) -> Result<Instance, InvalidField> {
         let id = self.id()?;
         let fields = FieldReader { id: &id };
+        let action = fields.action("actionType", &self.action_type)?;
         let port = fields.port("port", &self.port)?;
         let secure_port = fields.port("securePort", &self.secure_port)?;
         let last_dirty_ms = fields.number("lastDirtyTimestamp", &self.last_dirty_timestamp)?;
         let last_updated_ms = fields.number("lastUpdatedTimestamp", &self.last_updated_timestamp)?;
         let lease_started_ms =
             fields.number("registrationTimestamp", &self.lease_info.registration_timestamp)?;
-        let action = fields.action("actionType", &self.action_type)?;
         // Keys with '@' are attributes, not metadata.
         let metadata = self.metadata.into_iter().filter(|(key, _)| !key.starts_with('@'));
         Ok(Instance {
