--- a/crates/pooler/tests/soak/history.rs
+++ b/crates/pooler/tests/soak/history.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// For how long after it was told to drain an endpoint may still be sent requests.
+/// For how long after its drain was reported an endpoint may still be sent requests.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// For how long after a client's close an attempt may still begin.
 const ATTEMPT_AFTER_CLOSE: Duration = Duration::from_millis(100);
@@ -49,10 +49,10 @@
 /// A history that clients and servers write together.
 pub type SharedHistory = Arc<Mutex<History>>;
 
-/// An endpoint that was told to drain, and when.
+/// An endpoint whose drain was reported to the pooler, and when.
 pub struct Drain {
     pub endpoint: &'static str,
-    pub told_at: Instant,
+    pub reported_at: Instant,
 }
 
 impl History {
@@ -96,7 +96,7 @@
         if *remaining_time > left + REMAINING_TIME_TOLERANCE + slack {
             violations.push(format!("{id} passed on {remaining_time:?} with {left:?} left"));
         }
-        if *server == drain.endpoint && *begun_at > drain.told_at + DRAIN_GRACE + slack {
+        if *server == drain.endpoint && *begun_at > drain.reported_at + DRAIN_GRACE + slack {
             violations.push(format!("{id} sent to {server}, which drains"));
         }
     }
--- a/crates/pooler/tests/soak/run.rs
+++ b/crates/pooler/tests/soak/run.rs
@@ -25,7 +25,7 @@
 const STOPPED: Duration = Duration::from_millis(140);
 /// The least pause between two of these: one is not to become twice as long.
 const BETWEEN_STOPS_MS: u64 = 200;
-/// The endpoint that is told to drain.
+/// The endpoint whose drain is reported.
 const DRAINED: usize = 3;
 /// Seeds of servers that no other run has.
 const SEEDS_PER_RUN: u64 = 8;
@@ -151,11 +151,11 @@
     std::thread::sleep(RELOADS_SETTLE);
 }
 
-/// Has the last watch say that an endpoint drains. The watches must stay open for as long as the run.
+/// Reports on the last watch that an endpoint drains. The watches must stay open for as long as the run.
 fn drain(watches: &[Watch], server: &FakeServer) -> Drain {
     let change = delta(42, vec![server.entry("draining", "replica")]);
     watches.last().expect("discovery is watched where it moved to").send(change);
-    Drain { endpoint: server.id, told_at: Instant::now() }
+    Drain { endpoint: server.id, reported_at: Instant::now() }
 }
 
 /// Tells the pooler to end, several times over, and waits until the earliest kill.
--- a/crates/pooler/tests/sockets/client_disconnects.rs
+++ b/crates/pooler/tests/sockets/client_disconnects.rs
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_client_that_half_closes_is_told_that_its_request_was_rejected() {
-    // Nothing tells the end of a client's sending from a close, so nothing more is begun for it; but it may listen.
+    // A half-close looks like a close to the pooler, so nothing more is begun for it; but the client may listen.
     let (gate, server) = FakeServer::with_gated_accepts("s-1");
     let pooler = PoolerProcess::with_replica(&server);
     for statement in [read_statement("1"), write_statement("2")] {
--- a/crates/pooler/tests/support/fake_discovery.rs
+++ b/crates/pooler/tests/support/fake_discovery.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// A discovery service; what its watches say is up to the test.
+/// A discovery service; the test sends the updates of its watches.
 pub struct FakeDiscovery {
     pub address: SocketAddr,
     watches: Receiver<Watch>,
--- a/crates/pooler/tests/support/statements.rs
+++ b/crates/pooler/tests/support/statements.rs
@@ -2,7 +2,7 @@
 
 use pooler_proxy::protocol::write;
 
-/// How the statements below tell their deadline, of 8 s.
+/// The deadline in the statements below: 8 s.
 pub const DEADLINE_FIELD: &str = "d=8000";
 
 /// So many bytes of requests that a client sends ahead: more than any buffer of the pooler reads.
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,45 +1,94 @@
-//! Clients that ask for all classes, each with a session of its own, and look at what they are answered.
+//! Clients that ask for all classes, each with a session of its own, and check what they are answered.
 
-use crate::ledger::{Ledger, Seen};
-use crate::lock;
+use crate::history::{Observation, RequestOutcome, ResponseRecord, SharedHistory};
+use crate::{lock, unix_ms};
 use pooler_proxy::protocol::{self as pg, write};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The classes, as the lab's settings name them.
-pub const CLASSES: [&str; 5] = ["bundle-menu", "my-recent", "usage-history", "balance-check", "top-up"];
-/// How long a client waits for an answer.
+/// How long a client waits for a response, unless told otherwise.
 pub const DEADLINE: Duration = Duration::from_millis(1_000);
+/// A response so long after the deadline still came in time.
+pub const DEADLINE_TOLERANCE: Duration = Duration::from_millis(50);
+/// For how long after its deadline a client goes on reading.
+const READ_AFTER_DEADLINE: Duration = Duration::from_millis(100);
+/// The age that the data of a bounded read may have.
+const STALENESS_BOUND_MS: i64 = 1_500;
+const READ_SIZE: usize = 16 * 1024;
 
-/// A crowd of clients.
-pub struct Crowd {
+/// The request classes of the testbed's settings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestClass {
+    /// A read with bounded staleness.
+    BundleMenu,
+    /// A read of the session's own writes.
+    MyRecent,
+    /// An eventual read.
+    UsageHistory,
+    /// A strong read.
+    BalanceCheck,
+    /// A write that must not run twice.
+    TopUp,
+}
+
+impl RequestClass {
+    /// All, in the order of the settings.
+    pub const ALL: [Self; 5] =
+        [Self::BundleMenu, Self::MyRecent, Self::UsageHistory, Self::BalanceCheck, Self::TopUp];
+
+    /// Its name in the settings and in statements.
+    #[must_use]
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::BundleMenu => "bundle-menu",
+            Self::MyRecent => "my-recent",
+            Self::UsageHistory => "usage-history",
+            Self::BalanceCheck => "balance-check",
+            Self::TopUp => "top-up",
+        }
+    }
+
+    /// The class for a number from 0 to 99, by its share of the load.
+    fn from_percentile(percentile: u32) -> Self {
+        match percentile {
+            0..41 => Self::BundleMenu,
+            41..65 => Self::MyRecent,
+            65..85 => Self::UsageHistory,
+            85..89 => Self::BalanceCheck,
+            _ => Self::TopUp,
+        }
+    }
+}
+
+/// Clients that go on asking.
+pub struct ClientLoad {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Crowd {
-    /// So many clients of the pooler at `address`, each asking anew `pause` after its answer, until they are stopped.
+impl ClientLoad {
+    /// So many clients of the pooler at `address`, each asking anew `pause` after its response, until they are stopped.
     #[must_use]
     pub fn start(
         address: SocketAddr,
         count: usize,
         pause: Duration,
         seed: u64,
-        ledger: &Arc<Mutex<Ledger>>,
+        history: &SharedHistory,
     ) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let threads = (0..count).map(|at| {
-            let (stop, ledger) = (stop.clone(), ledger.clone());
+        let threads = (0..count).map(|number| {
+            let (stop, history) = (stop.clone(), history.clone());
             std::thread::spawn(move || {
-                let mut client = Client::new(address, at, seed);
+                let mut client = Client::new(address, number, seed, history);
                 while !stop.load(Ordering::SeqCst) {
-                    client.ask(&ledger);
+                    client.request_any();
                     std::thread::sleep(pause);
                 }
             })
@@ -47,7 +96,7 @@
         Self { threads: threads.collect(), stop }
     }
 
-    /// Stops them once each has its answer.
+    /// Stops them once each has its response.
     pub fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -56,158 +105,178 @@
     }
 }
 
-/// One client.
+/// A client that keeps its connection for as long as that lasts.
 pub struct Client {
     address: SocketAddr,
     session: String,
-    asked: u64,
+    requests: u64,
     deadline: Duration,
-    rng: ChaCha8Rng,
+    random: ChaCha8Rng,
+    history: SharedHistory,
     stream: Option<TcpStream>,
-    read: Vec<u8>,
+    unread: Vec<u8>,
+}
+
+/// A response as it came.
+struct Response {
+    outcome: RequestOutcome,
+    value: Option<String>,
+}
+
+impl Response {
+    /// The log position in the value, if that is the value of this request.
+    fn position_ms(&self, id: &str) -> Option<i64> {
+        let (of, position) = self.value.as_deref()?.split_once(' ')?;
+        if of == id { position.parse().ok() } else { None }
+    }
 }
 
 impl Client {
     /// The client of this number.
     #[must_use]
-    pub fn new(address: SocketAddr, at: usize, seed: u64) -> Self {
-        let rng = ChaCha8Rng::seed_from_u64(seed ^ at as u64);
+    pub fn new(address: SocketAddr, number: usize, seed: u64, history: SharedHistory) -> Self {
         Self {
             address,
-            session: format!("acc{at}"),
-            asked: 0,
+            session: format!("acc{number}"),
+            requests: 0,
             deadline: DEADLINE,
-            rng,
+            random: ChaCha8Rng::seed_from_u64(seed ^ number as u64),
+            history,
             stream: None,
-            read: Vec::new(),
+            unread: Vec::new(),
         }
     }
 
-    /// The same, waiting so long for each answer.
+    /// The same, waiting so long for each response.
     #[must_use]
-    pub fn within(mut self, deadline: Duration) -> Self {
+    pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
-    /// The id of what it asked last.
+    /// The id of its last request.
     #[must_use]
     pub fn last_id(&self) -> String {
-        format!("{}x{}", self.session, self.asked)
+        format!("{}x{}", self.session, self.requests)
     }
 
-    /// Asks once, for a class by chance; what became of it is in the ledger.
-    pub fn ask(&mut self, ledger: &Mutex<Ledger>) -> String {
-        let dice = self.rng.next_u32() % 100;
-        let class = [(41, 0), (65, 1), (85, 2), (89, 3)].into_iter().find(|(below, _)| dice < *below);
-        self.ask_for(class.map_or(4, |(_, class)| class), ledger)
+    /// Makes a request of a class by chance; what became of it is in the history as well.
+    pub fn request_any(&mut self) -> RequestOutcome {
+        let percentile = self.random.next_u32() % 100;
+        self.request(RequestClass::from_percentile(percentile))
     }
 
-    /// Asks once for a class.
-    pub fn ask_for(&mut self, class: usize, ledger: &Mutex<Ledger>) -> String {
-        self.asked += 1;
+    /// Makes a request of a class.
+    pub fn request(&mut self, class: RequestClass) -> RequestOutcome {
+        self.requests += 1;
         let id = self.last_id();
-        let (session, name, ms) = (&self.session, CLASSES[class], self.deadline.as_millis());
+        let statement = self.statement(class, &id);
+        let required_ms = self.required_position(class);
+        let phase = lock(&self.history).record_request();
+        let give_up_at = Instant::now() + self.deadline;
+        let mut response = self.exchange(&statement, give_up_at).unwrap_or_else(|error| {
+            self.stream = None;
+            Response { outcome: RequestOutcome::Broken { reason: error.to_string() }, value: None }
+        });
+        let position_ms = response.position_ms(&id);
+        if response.outcome == RequestOutcome::Served && position_ms.is_none() {
+            response.outcome = RequestOutcome::ForeignResponse;
+        }
+        let is_in_time = Instant::now() <= give_up_at + DEADLINE_TOLERANCE;
+        if is_in_time && !matches!(response.outcome, RequestOutcome::Broken { .. }) {
+            let observation = match position_ms {
+                Some(position_ms) if class == RequestClass::TopUp => Observation::Commit { position_ms },
+                Some(position_ms) => Observation::Read { required_ms, position_ms },
+                None => Observation::Nothing,
+            };
+            let (session, outcome) = (self.session.as_str(), &response.outcome);
+            let record = ResponseRecord { id: &id, session, phase, outcome, observation };
+            lock(&self.history).record_response(&record);
+        }
+        response.outcome
+    }
+
+    fn statement(&self, class: RequestClass, id: &str) -> String {
+        let (session, name, ms) = (&self.session, class.name(), self.deadline.as_millis());
         let comment = format!("/* id={id},c={name},d={ms},cluster=2 */");
-        let statement = if class == 4 {
+        if class == RequestClass::TopUp {
             format!(
                 "INSERT INTO kv (name, content) VALUES ('{session}', '\\x01') RETURNING content {comment}"
             )
         } else {
             format!("SELECT content FROM kv WHERE name = '{session}' {comment}")
-        };
-        let needed = match class {
-            0 => now_ms() - 1_500,
-            1 => lock(ledger).must_see(session, false),
-            3 => lock(ledger).must_see(session, true),
-            _ => 0,
-        };
-        let part = lock(ledger).asked();
-        let end = Instant::now() + self.deadline;
-        let (how, value) = match self.exchange(&statement, end) {
-            Ok(answer) => answer,
-            Err(error) => {
-                self.stream = None;
-                (format!("broken: {error}"), None)
-            }
-        };
-        let told = value.as_deref().and_then(|value| value.split_once(' '));
-        let position =
-            told.filter(|(of, _)| *of == id).and_then(|(_, position)| position.parse::<i64>().ok());
-        let how = if how == "served" && position.is_none() { "another's answer".to_owned() } else { how };
-        if Instant::now() <= end + Duration::from_millis(50) && !how.starts_with("broken") {
-            let commit = position.filter(|_| class == 4);
-            let read = position.filter(|_| class != 4).map(|position| (needed, position));
-            lock(ledger).answer(&id, part, &how, &self.session, Seen { commit, read });
         }
-        how
     }
 
-    fn exchange(&mut self, statement: &str, end: Instant) -> std::io::Result<(String, Option<String>)> {
-        let mut out = Vec::new();
+    /// The log position that a read of this class must see.
+    fn required_position(&self, class: RequestClass) -> i64 {
+        match class {
+            RequestClass::BundleMenu => unix_ms() - STALENESS_BOUND_MS,
+            RequestClass::MyRecent => lock(&self.history).session_commit(&self.session),
+            RequestClass::BalanceCheck => lock(&self.history).latest_commit(),
+            RequestClass::UsageHistory | RequestClass::TopUp => 0,
+        }
+    }
+
+    fn exchange(&mut self, statement: &str, give_up_at: Instant) -> std::io::Result<Response> {
         if self.stream.is_none() {
             let stream = TcpStream::connect(self.address)?;
             stream.set_nodelay(true)?;
             self.stream = Some(stream);
-            self.read.clear();
-            write::startup(&mut out, "backend", "store");
-            self.write(&out)?;
-            self.answer(end)?;
+            self.unread.clear();
+            let mut startup = Vec::new();
+            write::startup(&mut startup, "backend", "store");
+            self.write(&startup)?;
+            self.read_response(give_up_at)?;
         }
-        out.clear();
-        write::query(&mut out, statement);
-        self.write(&out)?;
-        self.answer(end)
+        let mut query = Vec::new();
+        write::query(&mut query, statement);
+        self.write(&query)?;
+        self.read_response(give_up_at)
     }
 
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
-        self.stream
-            .as_mut()
-            .map_or(Err(std::io::ErrorKind::NotConnected.into()), |stream| stream.write_all(bytes))
+        let stream = self.stream.as_mut().ok_or(ErrorKind::NotConnected)?;
+        stream.write_all(bytes)
     }
 
-    fn answer(&mut self, end: Instant) -> std::io::Result<(String, Option<String>)> {
-        let bad = || std::io::Error::from(std::io::ErrorKind::InvalidData);
-        let (mut how, mut value) = ("nothing".to_owned(), None);
-        let mut bytes = [0; 16 * 1024];
+    fn read_response(&mut self, give_up_at: Instant) -> std::io::Result<Response> {
+        let malformed = || std::io::Error::from(ErrorKind::InvalidData);
+        let mut response = Response { outcome: RequestOutcome::Empty, value: None };
+        let mut bytes = [0; READ_SIZE];
         loop {
-            while let Some(message) = pg::server_message(&self.read).map_err(|_| bad())? {
+            while let Some(message) = pg::server_message(&self.unread).map_err(|_| malformed())? {
                 let (tag, size) = (message.tag, message.size);
                 match tag {
                     b'D' => {
-                        let row = pg::row_value(message.body).map_err(|_| bad())?;
-                        value = row.and_then(|row| String::from_utf8(row.to_vec()).ok());
-                    }
-                    b'C' => how = "served".to_owned(),
-                    b'E' => {
-                        let fields = message.body.split(|byte| *byte == 0);
-                        let code = fields.filter_map(|field| field.strip_prefix(b"C")).next().unwrap_or(b"");
-                        how = match code {
-                            b"53300" | b"57P03" => "refused".to_owned(),
-                            other => format!("failed {}", String::from_utf8_lossy(other)),
-                        };
+                        let row = pg::row_value(message.body).map_err(|_| malformed())?;
+                        response.value = row.and_then(|row| String::from_utf8(row.to_vec()).ok());
                     }
+                    b'C' => response.outcome = RequestOutcome::Served,
+                    b'E' => response.outcome = error_outcome(message.body),
                     _ => {}
                 }
-                self.read.drain(..size);
+                self.unread.drain(..size);
                 if tag == b'Z' {
-                    return Ok((how, value));
+                    return Ok(response);
                 }
             }
-            let left = end.saturating_duration_since(Instant::now()) + Duration::from_millis(100);
-            let stream = self.stream.as_mut().ok_or(std::io::ErrorKind::NotConnected)?;
+            let left = give_up_at.saturating_duration_since(Instant::now()) + READ_AFTER_DEADLINE;
+            let stream = self.stream.as_mut().ok_or(ErrorKind::NotConnected)?;
             stream.set_read_timeout(Some(left))?;
             match stream.read(&mut bytes)? {
-                0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
-                count => self.read.extend_from_slice(&bytes[..count]),
+                0 => return Err(ErrorKind::UnexpectedEof.into()),
+                count => self.unread.extend_from_slice(&bytes[..count]),
             }
         }
     }
 }
 
-/// Unix time in milliseconds.
-#[must_use]
-pub fn now_ms() -> i64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    i64::try_from(now.as_millis()).unwrap_or(i64::MAX)
+/// How a request ended that got this ErrorResponse.
+fn error_outcome(body: &[u8]) -> RequestOutcome {
+    let fields = body.split(|byte| *byte == 0);
+    match fields.filter_map(|field| field.strip_prefix(b"C")).next().unwrap_or(b"") {
+        b"53300" | b"57P03" => RequestOutcome::Rejected,
+        other => RequestOutcome::Failed { sql_state: String::from_utf8_lossy(other).into_owned() },
+    }
 }
--- /dev/null
+++ b/crates/testbed/src/commands/failover.rs
@@ -0,0 +1,156 @@
+//! Plays all changes of primary, checks the model of them, and sums both up.
+
+use super::model::{THREADS, describe_violation};
+use super::parallel::run_in_parallel;
+use super::rounded;
+use pooler_testbed::error::TestbedError;
+use pooler_testbed::failover::{FailoverCase, FailoverOutcome, WritesWithoutPrimary, play, quantile};
+use pooler_testbed::model::{Bounds, CheckResult, check};
+use pooler_testbed::pooler_process::default_program;
+use serde_json::{Value, json};
+use std::time::Duration;
+
+const BOUNDS: Bounds =
+    Bounds { routers: 2, writes: 1, losses: 1, crashes: 1, drains: true, wrong_reset: false };
+
+/// Which cases to play, and how.
+pub struct Options {
+    /// Only cases whose names hold this.
+    pub only: String,
+    /// Cases that are played at the same time.
+    pub at_a_time: usize,
+    /// How often each case is played.
+    pub times: usize,
+}
+
+/// The model as it is, and with a fault that the check must find.
+struct ModelResults {
+    checked: CheckResult,
+    with_fault: CheckResult,
+}
+
+impl ModelResults {
+    fn check() -> Self {
+        let checked = check(BOUNDS, THREADS);
+        let with_fault = check(Bounds { routers: 1, wrong_reset: true, ..BOUNDS }, THREADS);
+        Self { checked, with_fault }
+    }
+
+    fn is_good(&self) -> bool {
+        self.checked.violation.is_none() && self.with_fault.violation.is_some()
+    }
+}
+
+/// All cases together.
+#[derive(Default)]
+struct Summary {
+    cases: usize,
+    did_not_happen: usize,
+    writes: usize,
+    doubled: usize,
+    served_without_row: usize,
+    rejected_with_row: usize,
+    unanswered: usize,
+    late: usize,
+    failed: usize,
+    /// Of the crashes.
+    without_primary: WritesWithoutPrimary,
+    handovers: Vec<Duration>,
+    /// Of the planned changes: writes that were not served, and what the others took longer than the median before.
+    planned_errors: usize,
+    planned_delays: Vec<Duration>,
+}
+
+impl Summary {
+    fn add(&mut self, case: FailoverCase, outcome: &FailoverOutcome) {
+        self.cases += 1;
+        self.did_not_happen += usize::from(!outcome.happened);
+        self.writes += outcome.writes;
+        self.doubled += outcome.doubled;
+        self.served_without_row += outcome.served_without_row;
+        self.rejected_with_row += outcome.rejected_with_row;
+        self.unanswered += outcome.unanswered;
+        self.late += outcome.late;
+        self.failed += outcome.failed;
+        if case == FailoverCase::Planned {
+            self.planned_errors += outcome.writes - outcome.served();
+            let usual = quantile(&outcome.latencies_before, 0.5);
+            let during = outcome.latencies_during.iter();
+            self.planned_delays.extend(during.map(|took| took.saturating_sub(usual)));
+        } else {
+            self.without_primary.served += outcome.without_primary.served;
+            self.without_primary.asked += outcome.without_primary.asked;
+            self.handovers.extend(outcome.handover);
+        }
+    }
+
+    fn is_good(&self) -> bool {
+        let violations = self.doubled
+            + self.served_without_row
+            + self.rejected_with_row
+            + self.unanswered
+            + self.late
+            + self.did_not_happen;
+        violations == 0
+    }
+
+    fn to_json(&self, model: &ModelResults) -> Value {
+        let WritesWithoutPrimary { served, asked } = self.without_primary;
+        let served_share = served as f64 / f64::max(asked as f64, 1.0);
+        json!({"cases": self.cases, "did_not_happen": self.did_not_happen, "top_ups": self.writes,
+            "rows_doubled": self.doubled, "rows_lost": self.served_without_row, "unanswered": self.unanswered,
+            "answered_late": self.late, "served_without_row": self.served_without_row,
+            "refused_with_row": self.rejected_with_row, "failed": self.failed,
+            "planned_errors": self.planned_errors,
+            "planned_added_p99_ms": quantile(&self.planned_delays, 0.99).as_millis() as u64,
+            "handover_p99_ms": quantile(&self.handovers, 0.99).as_millis() as u64,
+            "unplanned_served_share": rounded(served_share),
+            "states_checked": model.checked.states,
+            "model_violations": u8::from(model.checked.violation.is_some()),
+            "seeded_fault_found": model.with_fault.violation.is_some()})
+    }
+}
+
+fn print_outcome(case: FailoverCase, outcome: &FailoverOutcome, with_log: bool) {
+    let outcomes = outcome.outcomes.iter().map(|(outcome, count)| format!("{outcome} {count}"));
+    println!(
+        "{:<24} writes {:>5}  doubled {}  served without row {}  rejected with row {}  unanswered {}  late {}  \
+         without primary {}/{}  handover {:>5} ms  {}{}",
+        case.to_string(),
+        outcome.writes,
+        outcome.doubled,
+        outcome.served_without_row,
+        outcome.rejected_with_row,
+        outcome.unanswered,
+        outcome.late,
+        outcome.without_primary.served,
+        outcome.without_primary.asked,
+        outcome.handover.unwrap_or_default().as_millis(),
+        outcomes.collect::<Vec<_>>().join(", "),
+        if outcome.happened { "" } else { "  DID NOT HAPPEN" }
+    );
+    if let Some(log) = outcome.log.as_ref().filter(|_| with_log) {
+        println!("    log: {}", log.join(" | "));
+    }
+}
+
+/// Plays the cases, and prints a line for each and a JSON object for all; whether all came out as they should.
+pub fn run(options: &Options) -> Result<bool, TestbedError> {
+    let mut cases = FailoverCase::all();
+    cases.retain(|case| case.to_string().contains(&options.only));
+    let cases = cases.repeat(options.times);
+    let program = default_program();
+    let outcomes = run_in_parallel(&cases, options.at_a_time, |case| play(*case, &program));
+    let mut summary = Summary::default();
+    for (case, outcome) in cases.iter().zip(outcomes) {
+        let outcome = outcome?;
+        print_outcome(*case, &outcome, !options.only.is_empty());
+        summary.add(*case, &outcome);
+    }
+    let model = ModelResults::check();
+    if let Some(violation) = describe_violation(&model.checked) {
+        println!("model: {violation}");
+    }
+    println!("{}", summary.to_json(&model));
+    Ok(model.is_good() && summary.is_good())
+}
--- /dev/null
+++ b/crates/testbed/src/fleet.rs
@@ -0,0 +1,212 @@
+//! A fleet of fake servers with its registry, all on loopback, and what can happen to it.
+
+use crate::error::TestbedError;
+use crate::fake_registry::{ChangedBy, Registration, Registrations, RegistryPeer};
+use crate::fake_server::{FakeServer, FakeServerConfig, ReplicationLog};
+use crate::history::SharedHistory;
+use crate::lock;
+use crate::operator_config::OperatorConfig;
+use crate::pooler_process::PoolerProcess;
+use crate::scenario::{Action, ServerRole};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Where servers are, and where none may be.
+pub const INSIDE_NETWORKS: Ipv4Addr = Ipv4Addr::new(127, 10, 0, 1);
+const OUTSIDE_NETWORKS: Ipv4Addr = Ipv4Addr::new(127, 20, 0, 1);
+/// How often the pooler polls.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a server takes for a statement.
+const WORK: Duration = Duration::from_millis(6);
+/// The server that is the primary at the start.
+const FIRST_PRIMARY: &str = "s-1";
+
+/// A fleet with its registry.
+pub struct Fleet {
+    /// What passes on the sockets.
+    pub history: SharedHistory,
+    /// What is registered.
+    pub registrations: Registrations,
+    /// The registry's servers.
+    pub peers: Vec<RegistryPeer>,
+    /// The fake servers, by id.
+    pub servers: BTreeMap<String, FakeServer>,
+    log: Arc<ReplicationLog>,
+    /// How far the clock of all of them is off.
+    clock_offset_ms: i64,
+    /// Whether the operator's file has the clearing of an override count.
+    counts_cleared_override: bool,
+}
+
+impl Fleet {
+    /// So many servers `s-1`, `s-2` and so on, the first of them the primary, and so many peers.
+    ///
+    /// # Errors
+    ///
+    /// When something can't listen.
+    pub fn start(servers: usize, peers: usize) -> io::Result<Self> {
+        let (history, registrations) = (SharedHistory::default(), Registrations::default());
+        let peer = |_| RegistryPeer::start(&registrations, &history);
+        let peers = (0..peers).map(peer).collect::<io::Result<_>>()?;
+        let mut fleet = Self {
+            history,
+            registrations,
+            peers,
+            servers: BTreeMap::new(),
+            log: Arc::default(),
+            clock_offset_ms: 0,
+            counts_cleared_override: false,
+        };
+        for number in 1..=servers {
+            let id = format!("s-{number}");
+            let role = if id == FIRST_PRIMARY { ServerRole::Primary } else { ServerRole::Replica };
+            fleet.add_server(&id, role)?;
+        }
+        fleet.registrations.forget_history();
+        Ok(fleet)
+    }
+
+    /// Has the history count the clearing of an override as the end of a drain.
+    pub fn count_cleared_overrides(&mut self) {
+        self.counts_cleared_override = true;
+    }
+
+    /// The operator's file for a pooler of this fleet, with a further line in the registry's record.
+    #[must_use]
+    pub fn operator_config(&self, extra: &str) -> String {
+        let extra = vec!["longest_pause: \"1s\"".to_owned(), extra.to_owned()];
+        let peers = self.peers.iter().map(|peer| peer.address).collect();
+        OperatorConfig { peers, interval: POLL_INTERVAL, extra }.to_string()
+    }
+
+    /// Performs an action of a scenario.
+    ///
+    /// # Errors
+    ///
+    /// When something can't listen, or the pooler can't be told to end.
+    pub fn perform(&mut self, action: &Action, pooler: &PoolerProcess) -> Result<(), TestbedError> {
+        match action {
+            Action::Drain(id) => self.set_own_status(id, "OUT_OF_SERVICE"),
+            Action::ReturnToService(id) => self.set_own_status(id, "UP"),
+            Action::SetStarting(id) => self.set_own_status(id, "STARTING"),
+            Action::OverrideStatus(id, status) => self.registrations.override_status(id, status),
+            Action::ClearOverride(id) => self.clear_override(id),
+            Action::Deregister(id) => drop(self.registrations.deregister(id)),
+            Action::AddServer(id, role) => self.add_server(id, *role)?,
+            Action::Restart(id) => self.restart(id),
+            Action::Move(id) => {
+                let address = self.open(&format!("{id}-moved"), ServerRole::Replica)?;
+                self.update_own(id, |one| one.port = address.port());
+            }
+            Action::RegisterTwin(id) => {
+                let address = self.open(&format!("{id}-twin"), ServerRole::Replica)?;
+                self.registrations.update(id, ChangedBy::Registry, |one| one.port = address.port());
+            }
+            Action::RegisterOutside(id) => self.register_outside(id)?,
+            Action::MoveOutside(id) => {
+                let address = self.listen_outside()?;
+                self.update_own(id, |one| one.set_address(address));
+            }
+            Action::ClearRegistry => self.registrations.clear(),
+            Action::ReregisterAll(pause_ms) => self.reregister_all(Duration::from_millis(*pause_ms)),
+            Action::SetBehavior(peer, behavior) => self.peers[*peer].set_behavior(behavior.clone()),
+            Action::SetPeerLag(peer, ms) => self.peers[*peer].set_lag(Duration::from_millis(*ms)),
+            Action::StepClocks(ms) => self.clock_offset_ms += ms,
+            Action::SetReplicationLag(id, ms) => {
+                self.servers.get(id).into_iter().for_each(|server| server.set_lag(*ms));
+            }
+            Action::TakeDown(id) => self.servers.get(id).into_iter().for_each(FakeServer::take_down),
+            Action::TerminatePooler => pooler.terminate()?,
+        }
+        Ok(())
+    }
+
+    /// Starts a server that is not registered.
+    fn open(&mut self, id: &str, role: ServerRole) -> io::Result<SocketAddr> {
+        let config = FakeServerConfig {
+            id: id.to_owned(),
+            ip: IpAddr::V4(INSIDE_NETWORKS),
+            is_primary: role == ServerRole::Primary,
+            work: WORK,
+        };
+        let server = FakeServer::start(config, self.log.clone(), self.history.clone())?;
+        let address = server.address;
+        self.servers.insert(id.to_owned(), server);
+        Ok(address)
+    }
+
+    fn add_server(&mut self, id: &str, role: ServerRole) -> io::Result<()> {
+        let address = self.open(id, role)?;
+        let is_primary = role == ServerRole::Primary;
+        self.registrations.register(Registration::server(id, address, is_primary, self.own_timestamp()));
+        Ok(())
+    }
+
+    /// The time by the clock that the registry and the servers share.
+    fn own_timestamp(&self) -> i64 {
+        self.registrations.next_timestamp() + self.clock_offset_ms
+    }
+
+    /// A server changes itself: its timestamp is its own clock's.
+    fn update_own(&self, id: &str, change: impl FnOnce(&mut Registration)) {
+        let timestamp = self.own_timestamp();
+        self.registrations.update(id, ChangedBy::Registry, |one| {
+            change(one);
+            one.dirty_ms = timestamp;
+        });
+    }
+
+    fn set_own_status(&self, id: &str, status: &str) {
+        self.update_own(id, |one| one.status = status.to_owned());
+    }
+
+    fn clear_override(&self, id: &str) {
+        if self.counts_cleared_override {
+            lock(&self.history).record_lifted_override(id);
+        }
+        self.registrations.clear_override(id);
+    }
+
+    fn restart(&self, id: &str) {
+        let started = self.own_timestamp().to_string();
+        self.update_own(id, |one| {
+            one.status = "UP".into();
+            one.metadata.insert("startedAtMs".into(), started);
+        });
+    }
+
+    fn register_outside(&self, id: &str) -> io::Result<()> {
+        let address = self.listen_outside()?;
+        let mut registration = self.registrations.get(FIRST_PRIMARY).unwrap_or_default();
+        registration.id = id.to_owned();
+        registration.dirty_ms = self.own_timestamp();
+        registration.set_address(address);
+        self.registrations.register(registration);
+        Ok(())
+    }
+
+    fn reregister_all(&self, pause: Duration) {
+        for (id, server) in &self.servers {
+            let is_primary = id == FIRST_PRIMARY;
+            let timestamp = self.own_timestamp();
+            self.registrations.register(Registration::server(id, server.address, is_primary, timestamp));
+            std::thread::sleep(pause);
+        }
+    }
+
+    /// Listens where no server may be, and has the history count the connections.
+    fn listen_outside(&self) -> io::Result<SocketAddr> {
+        let listener = TcpListener::bind((OUTSIDE_NETWORKS, 0))?;
+        let address = listener.local_addr()?;
+        let history = self.history.clone();
+        std::thread::spawn(move || {
+            for _ in listener.incoming() {
+                lock(&history).record_outside_connection(address);
+            }
+        });
+        Ok(address)
+    }
+}
