--- a/crates/pooler/tests/support/statements.rs
+++ b/crates/pooler/tests/support/statements.rs
@@ -38,7 +38,7 @@
 /// A startup message, and straight after it `pipelined`.
 pub fn startup_bytes(pipelined: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    write::startup(&mut out, "backend", "store");
+    write::startup_message(&mut out, "backend", "store");
     out.extend_from_slice(pipelined);
     out
 }
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -3,20 +3,23 @@
 use super::attempt::AttemptError;
 use super::connection::Connection;
 use super::sqlstate::statement_error_outcome;
-use crate::protocol::{self as pg, Notes, Part, PgError};
+use crate::protocol::{
+    MAX_VALUE_SIZE, ProtocolError, ResponseParser, ResponsePart, ServerStatus, backend_tag,
+    parse_backend_message,
+};
 use pooler_routing::AttemptOutcome;
 use std::ops::Range;
 
-/// No response takes up more than this, notices and all.
-const MAX_RESPONSE_SIZE: usize = 2 * pg::LONGEST_VALUE;
+/// The largest response, in bytes, including notices.
+const MAX_RESPONSE_SIZE: usize = 2 * MAX_VALUE_SIZE;
 
-/// What was read up to ReadyForQuery, or until the server ended the connection. It stands in the connection's buffer
-/// still, whose ranges are given.
+/// What was read up to ReadyForQuery, or until the server closed the connection. The bytes are still in the connection's
+/// buffer; all ranges refer to it.
 pub(super) struct ServerResponse {
     /// The outcome of the attempt.
     pub(super) outcome: AttemptOutcome,
-    /// What the server said of itself beside the response.
-    pub(super) notes: Notes,
+    /// What the server reported about itself beside the response.
+    pub(super) server_status: ServerStatus,
     /// The messages of the response.
     pub(super) messages: Vec<Range<usize>>,
     /// The value of the row.
@@ -27,22 +30,22 @@
     pub(super) ready_for_query: bool,
 }
 
-/// Reads one response. What was complete before the connection ended counts; one that makes no sense may have run, like
-/// one that never came.
+/// Reads one response. A response that was complete when the connection was closed counts. After a malformed one the
+/// query may have run, as after none at all.
 ///
 /// # Errors
 ///
-/// When the connection ends before the response is complete, or what comes makes no sense.
+/// When the connection is closed before the response is complete, or the server violates the protocol.
 pub(super) async fn read(connection: &mut Connection) -> Result<ServerResponse, AttemptError> {
     let mut reader = ResponseReader::default();
     while !reader.read_buffered(connection.unread())? {
-        // More than any response has makes no sense; it is not kept in memory.
+        // A server that sends more violates the protocol, and must not fill the memory.
         if connection.unread().len() > MAX_RESPONSE_SIZE {
             return Err(AttemptError::ConnectionLost);
         }
         match connection.fill().await {
             Ok(1..) => {}
-            Ok(0) | Err(_) if reader.parser.whole() => break,
+            Ok(0) | Err(_) if reader.parser.is_complete() => break,
             _ => return Err(AttemptError::ConnectionLost),
         }
     }
@@ -52,7 +55,7 @@
 /// The part of a response that has been read so far.
 #[derive(Default)]
 struct ResponseReader {
-    parser: pg::Answer,
+    parser: ResponseParser,
     messages: Vec<Range<usize>>,
     value: Option<Range<usize>>,
     /// The size of the messages that have been read.
@@ -61,21 +64,21 @@
 }
 
 impl ResponseReader {
-    /// Reads the complete messages in `data` from the current position on; true at the end of the response.
-    fn read_buffered(&mut self, data: &[u8]) -> Result<bool, PgError> {
-        while let Some(message) = pg::server_message(&data[self.position..])? {
+    /// Reads the complete messages in `data` from the current position; true at the end of the response.
+    fn read_buffered(&mut self, data: &[u8]) -> Result<bool, ProtocolError> {
+        while let Some(message) = parse_backend_message(&data[self.position..])? {
             let range = self.position..self.position + message.size;
             self.position = range.end;
-            match self.parser.take(&message)? {
-                Part::Value(size) => {
-                    if message.tag == b'D' {
-                        self.value = Some(range.end - size..range.end);
+            match self.parser.accept(&message)? {
+                ResponsePart::Forward { value_size } => {
+                    if message.tag == backend_tag::DATA_ROW {
+                        self.value = Some(range.end - value_size..range.end);
                     }
                     self.add_message(range);
                 }
-                Part::Aside => {}
-                Part::Fatal => return Ok(true),
-                Part::Ready => {
+                ResponsePart::Ignore => {}
+                ResponsePart::Fatal => return Ok(true),
+                ResponsePart::Ready => {
                     self.ready_for_query = true;
                     return Ok(true);
                 }
@@ -84,7 +87,7 @@
         Ok(false)
     }
 
-    /// Adds a message to those of the response; adjacent ones share a range.
+    /// Adds a message to the response; adjacent messages share a range.
     fn add_message(&mut self, range: Range<usize>) {
         match self.messages.last_mut().filter(|last| last.end == range.start) {
             Some(last) => last.end = range.end,
@@ -94,8 +97,8 @@
 
     fn into_response(self) -> ServerResponse {
         ServerResponse {
-            outcome: self.parser.failed().map_or(AttemptOutcome::Ok, statement_error_outcome),
-            notes: self.parser.into_notes(),
+            outcome: self.parser.error_code().map_or(AttemptOutcome::Ok, statement_error_outcome),
+            server_status: self.parser.into_server_status(),
             messages: self.messages,
             value: self.value,
             size: self.position,
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{Observation, RequestOutcome, ResponseRecord, SharedHistory};
 use crate::{lock, unix_ms};
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, write};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::io::{ErrorKind, Read, Write};
@@ -225,7 +225,7 @@
             self.stream = Some(stream);
             self.unread.clear();
             let mut startup = Vec::new();
-            write::startup(&mut startup, "backend", "store");
+            write::startup_message(&mut startup, "backend", "store");
             self.write(&startup)?;
             self.read_response(give_up_at)?;
         }
@@ -245,11 +245,13 @@
         let mut response = Response { outcome: RequestOutcome::Empty, value: None };
         let mut bytes = [0; READ_SIZE];
         loop {
-            while let Some(message) = pg::server_message(&self.unread).map_err(|_| malformed())? {
+            while let Some(message) =
+                protocol::parse_backend_message(&self.unread).map_err(|_| malformed())?
+            {
                 let (tag, size) = (message.tag, message.size);
                 match tag {
                     b'D' => {
-                        let row = pg::row_value(message.body).map_err(|_| malformed())?;
+                        let row = protocol::parse_data_row(message.body).map_err(|_| malformed())?;
                         response.value = row.and_then(|row| String::from_utf8(row.to_vec()).ok());
                     }
                     b'C' => response.outcome = RequestOutcome::Served,
--- a/crates/testbed/src/fake_server.rs
+++ b/crates/testbed/src/fake_server.rs
@@ -3,10 +3,11 @@
 use crate::history::SharedHistory;
 use crate::server_messages::{
     ReportedState, push_empty_response, push_error_response, push_load_report, push_row_response,
+    push_welcome,
 };
 use crate::statement::request_id;
 use crate::{lock, unix_ms};
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, SqlState};
 use std::io::{Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -140,7 +141,7 @@
         while let Some(incoming) = connection.next() {
             let mut out = Vec::new();
             match incoming {
-                Incoming::Startup => write::welcome(&mut out, 1, 1),
+                Incoming::Startup => push_welcome(&mut out),
                 Incoming::Statement { text, first_byte_at } => {
                     self.execute(&text, first_byte_at, &mut out);
                     connection.finish_statement();
@@ -175,7 +176,7 @@
             let committed = ReportedState { is_primary: true, position_ms };
             push_row_response(out, format!("{id} {position_ms}").as_bytes(), committed);
         } else {
-            push_error_response(out, "25006", "read only", self.reported());
+            push_error_response(out, SqlState::READ_ONLY_SQL_TRANSACTION, "read only", self.reported());
         }
     }
 }
@@ -206,14 +207,14 @@
         let mut bytes = vec![0; READ_SIZE];
         loop {
             if !self.has_started {
-                if let Ok(Some((_, size))) = pg::startup(&self.unread) {
+                if let Ok(Some((_, size))) = protocol::parse_startup_message(&self.unread) {
                     self.unread.drain(..size);
                     self.has_started = true;
                     return Some(Incoming::Startup);
                 }
-            } else if let Ok(Some(message)) = pg::message(&self.unread) {
+            } else if let Ok(Some(message)) = protocol::parse_frontend_message(&self.unread) {
                 let (tag, size) = (message.tag, message.size);
-                let text = pg::query_text(message.body).unwrap_or("").to_owned();
+                let text = protocol::parse_query(message.body).unwrap_or("").to_owned();
                 self.unread.drain(..size);
                 if tag != b'Q' {
                     return None;
--- a/crates/testbed/src/replicated_group.rs
+++ b/crates/testbed/src/replicated_group.rs
@@ -3,10 +3,11 @@
 
 use crate::server_messages::{
     ReportedState, push_empty_response, push_error_response, push_load_report, push_row, push_row_response,
+    push_welcome,
 };
 use crate::statement::request_id;
 use crate::{lock, unix_ms};
-use pooler_proxy::protocol::{self as pg, write};
+use pooler_proxy::protocol::{self, SqlState, write};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
@@ -310,7 +311,11 @@
             push_row_response(out, format!("{id} {}", reported.position_ms).as_bytes(), reported);
             Ok(())
         } else if is_draining || !reported.is_primary {
-            let sql_state = if is_draining { "53300" } else { "25006" };
+            let sql_state = if is_draining {
+                SqlState::TOO_MANY_CONNECTIONS
+            } else {
+                SqlState::READ_ONLY_SQL_TRANSACTION
+            };
             push_error_response(out, sql_state, "not here", reported);
             Ok(())
         } else {
@@ -339,7 +344,7 @@
             return Err(Crashed);
         }
         self.survive(server, CrashPoint::BeforeReady)?;
-        write::ready(out);
+        write::ready_for_query(out);
         Ok(())
     }
 }
@@ -364,19 +369,23 @@
     /// Answers the next message, if all of it has been read.
     fn answer(&mut self, out: &mut Vec<u8>) -> Result<Progress, Crashed> {
         if !self.has_started {
-            let Ok(Some((_, size))) = pg::startup(&self.unread) else { return Ok(Progress::NeedsMore) };
+            let Ok(Some((_, size))) = protocol::parse_startup_message(&self.unread) else {
+                return Ok(Progress::NeedsMore);
+            };
             self.group.survive(self.server, CrashPoint::DuringDial)?;
             self.unread.drain(..size);
-            write::welcome(out, 1, 1);
+            push_welcome(out);
             self.has_started = true;
             return Ok(Progress::Answered);
         }
         if self.has_begun_write() {
             self.group.survive(self.server, CrashPoint::MidStatement)?;
         }
-        let Ok(Some(message)) = pg::message(&self.unread) else { return Ok(Progress::NeedsMore) };
+        let Ok(Some(message)) = protocol::parse_frontend_message(&self.unread) else {
+            return Ok(Progress::NeedsMore);
+        };
         let (tag, size) = (message.tag, message.size);
-        let statement = pg::query_text(message.body).unwrap_or("").to_owned();
+        let statement = protocol::parse_query(message.body).unwrap_or("").to_owned();
         self.unread.drain(..size);
         if tag != b'Q' {
             return Ok(Progress::Ended);
--- a/crates/testbed/src/server_messages.rs
+++ b/crates/testbed/src/server_messages.rs
@@ -1,6 +1,9 @@
 //! What a fake server writes in PostgreSQL's protocol.
 
-use pooler_proxy::protocol::write;
+use pooler_proxy::protocol::{BackendKeyData, SqlState, write};
+
+/// The key of every connection; nobody cancels with it.
+const SERVER_KEY: BackendKeyData = BackendKeyData { process_id: 1, secret_key: 1 };
 
 /// The state of a server as it reports it beside each response.
 #[derive(Clone, Copy, Debug)]
@@ -32,27 +35,32 @@
     row.extend_from_slice(&u32::try_from(value.len()).unwrap_or(0).to_be_bytes());
     row.extend_from_slice(value);
     push_message(out, b'D', &row);
-    write::complete(out, "SELECT 1");
+    write::command_complete(out, "SELECT 1");
     push_state(out, state);
 }
 
 /// A whole response with one value.
 pub fn push_row_response(out: &mut Vec<u8>, value: &[u8], state: ReportedState) {
     push_row(out, value, state);
-    write::ready(out);
+    write::ready_for_query(out);
 }
 
 /// A whole error response.
-pub fn push_error_response(out: &mut Vec<u8>, sql_state: &str, message: &str, state: ReportedState) {
-    write::error(out, write::Severity::Error, sql_state, message, None);
+pub fn push_error_response(out: &mut Vec<u8>, sql_state: SqlState, message: &str, state: ReportedState) {
+    write::error_response(out, write::Severity::Error, sql_state, message, None);
     push_state(out, state);
-    write::ready(out);
+    write::ready_for_query(out);
+}
+
+/// What a server writes once it has accepted a connection.
+pub fn push_welcome(out: &mut Vec<u8>) {
+    write::session_start(out, SERVER_KEY);
 }
 
 /// The whole response to an empty query.
 pub fn push_empty_response(out: &mut Vec<u8>) {
-    write::empty_query(out);
-    write::ready(out);
+    write::empty_query_response(out);
+    write::ready_for_query(out);
 }
 
 /// The whole response to a health check: the position in seconds, and whether the server takes writes.
