--- a/crates/routing/src/router/attempt_completion.rs
+++ b/crates/routing/src/router/attempt_completion.rs
@@ -123,7 +123,7 @@
             return;
         }
         if completed.is_write && completed.outcome.never_ran() {
-            self.record_unsent_write(now, id, completed);
+            self.record_write_not_run(now, id, completed);
         } else if completed.outcome == AttemptOutcome::Timeout {
             self.retry_budget.withdraw();
         }
@@ -133,7 +133,7 @@
 
     /// A write provably did not run. Unless it was not sent, or rejected for lack of capacity, that shows
     /// that its endpoint is not a primary that is up.
-    fn record_unsent_write(&mut self, now: Timestamp, id: RequestId, completed: &CompletedAttempt) {
+    fn record_write_not_run(&mut self, now: Timestamp, id: RequestId, completed: &CompletedAttempt) {
         if matches!(
             completed.outcome,
             AttemptOutcome::Rejected | AttemptOutcome::NotSent | AttemptOutcome::ConnectionLostBeforeSend
--- a/crates/routing/src/router/cluster_view.rs
+++ b/crates/routing/src/router/cluster_view.rs
@@ -100,11 +100,11 @@
         endpoint.warm_up.tokens(self.now, capacity, self.settings)
     }
 
-    /// The believed primary of a group, if it was last shown as primary and does not seem to be down.
-    pub(super) fn shown_primary(&self, group: GroupId) -> Option<&'a Endpoint> {
+    /// The believed primary of a group, if the latest evidence confirms it and it does not seem to be down.
+    pub(super) fn confirmed_primary(&self, group: GroupId) -> Option<&'a Endpoint> {
         let endpoint = self.endpoints.believed_primary(group)?;
-        let is_shown = endpoint.role() == Role::Primary && self.accepts_new_work(endpoint);
-        (is_shown && !self.is_suspect(endpoint)).then_some(endpoint)
+        let is_confirmed = endpoint.role() == Role::Primary && self.accepts_new_work(endpoint);
+        (is_confirmed && !self.is_suspect(endpoint)).then_some(endpoint)
     }
 
     /// A believed primary that went silent and has no attempt in flight that is not lost. A read that needs
@@ -113,7 +113,7 @@
     pub(super) fn primary_to_probe(&self, group: GroupId) -> Option<&'a Endpoint> {
         let endpoint = self.endpoints.believed_primary(group)?;
         let is_free = !endpoint.failures.is_ejected(self.now) && self.live_attempts_of(endpoint) < 1.0;
-        let was_shown = endpoint.role() == Role::Primary && self.accepts_new_work(endpoint);
-        (was_shown && is_free).then_some(endpoint)
+        let was_primary = endpoint.role() == Role::Primary && self.accepts_new_work(endpoint);
+        (was_primary && is_free).then_some(endpoint)
     }
 }
--- a/crates/routing/src/router/endpoint.rs
+++ b/crates/routing/src/router/endpoint.rs
@@ -20,12 +20,19 @@
     is_listed_primary: bool,
     /// When its last health check was sent.
     health_checked_at: Timestamp,
+    /// How current its data is.
     pub(super) freshness: ReplicaFreshness,
+    /// Whether it is the primary.
     pub(super) role_evidence: RoleEvidence,
+    /// Its work for this router.
     pub(super) work: EndpointWork,
+    /// How much slower than usual it responds.
     pub(super) slowness: Slowness,
+    /// Its failures and ejections.
     pub(super) failures: FailureScore,
+    /// How much work it may have.
     pub(super) concurrency: ConcurrencyLimit,
+    /// Its warm-up after a start.
     pub(super) warm_up: WarmUp,
 }
 
@@ -58,7 +65,7 @@
         self.group
     }
 
-    /// The role that it was last shown to have.
+    /// The role that the latest evidence shows.
     pub(super) fn role(&self) -> Role {
         self.role_evidence.role()
     }
--- a/crates/routing/src/router/endpoint_reports.rs
+++ b/crates/routing/src/router/endpoint_reports.rs
@@ -98,8 +98,8 @@
         self.log.set("the clock was ahead of the fleet's".to_owned());
     }
 
-    /// An endpoint was the primary at a moment of the fleet's clock. It is believed to be, unless another one
-    /// was shown to be later.
+    /// An endpoint was the primary at a moment of the fleet's clock. It is believed to be, unless there
+    /// is later evidence of another one.
     fn record_primary(&mut self, now: Timestamp, id: &EndpointId, at: Timestamp) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         endpoint.role_evidence.observe_primary(at);
@@ -109,12 +109,12 @@
         let Some(group) = self.endpoints.group_mut(group_id) else { return };
         if at > rival_at {
             if group.primary.is_unknown() || group.primary.believed() != Some(id) {
-                self.log.set(format!("group {}: primary shown at {}", group_id.0, id.0));
+                self.log.set(format!("group {}: primary confirmed at {}", group_id.0, id.0));
             }
             group.primary.believe(id.clone());
         }
         self.queue_schedule.retry(group_id);
-        if self.view(now).shown_primary(group_id).is_some()
+        if self.view(now).confirmed_primary(group_id).is_some()
             && let Some(group) = self.endpoints.group_mut(group_id)
         {
             group.primary.mark_found();
--- a/crates/routing/src/router/endpoint_selection.rs
+++ b/crates/routing/src/router/endpoint_selection.rs
@@ -21,7 +21,7 @@
         let selection = self.view(now).select_for_read(request, randomness, trusts_clock, budget)?;
         self.health_check_budget.withdraw(selection.health_checks.len());
         self.send_health_checks(now, &selection.health_checks, TimeDelta::ZERO, actions);
-        if selection.endpoint.is_none() && self.view(now).shown_primary(group).is_none() {
+        if selection.endpoint.is_none() && self.view(now).confirmed_primary(group).is_none() {
             self.search_primary(now, group, actions);
         }
         selection.endpoint
@@ -43,8 +43,8 @@
         !view.has_listed_primary(request.group()) || self.clock.has_awaited_confirmation(now)
     }
 
-    /// Selects the believed primary, unless it may be the wrong one. Then the write waits for one to be
-    /// shown.
+    /// Selects the believed primary, unless it may be the wrong one. Then the write waits until a
+    /// primary is confirmed.
     pub(super) fn select_for_write(
         &mut self,
         now: Timestamp,
@@ -62,7 +62,7 @@
         let is_unknown = believed.is_unknown();
         let view = self.view(now);
         let primary = self.endpoints.get(&selection.primary)?;
-        if !selection.is_shown && (is_unknown || view.is_suspect(primary)) {
+        if !selection.is_confirmed && (is_unknown || view.is_suspect(primary)) {
             self.search_primary(now, group_id, actions);
             return None;
         }
--- a/crates/routing/src/router/endpoints.rs
+++ b/crates/routing/src/router/endpoints.rs
@@ -13,8 +13,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Group {
     endpoints: BTreeSet<EndpointId>,
+    /// What the router believes of its primary.
     pub(super) primary: GroupPrimary,
+    /// Its queued requests.
     pub(super) queue: RequestQueue,
+    /// How overloaded its endpoints are.
     pub(super) overload: OverloadRatios,
 }
 
--- a/crates/routing/src/router/freshness.rs
+++ b/crates/routing/src/router/freshness.rs
@@ -68,7 +68,7 @@
         self.raise_position(position);
     }
 
-    /// It was shown to have applied the log up to a position.
+    /// Records that it has applied the log at least up to a position.
     pub(super) fn raise_position(&mut self, position: Timestamp) {
         self.position = self.position.max(position);
     }
--- a/crates/routing/src/router/health_checks.rs
+++ b/crates/routing/src/router/health_checks.rs
@@ -4,7 +4,8 @@
 use super::load_balancing::LISTED_PRIMARY_TIMEOUT;
 use crate::{Action, EndpointId, GroupId, TimeDelta, Timestamp};
 
-/// The shortest interval between two health checks of a search.
+/// Any interval will do: the search itself spaces its health checks, and only two at the same moment are
+/// prevented.
 const MIN_SEARCH_INTERVAL: TimeDelta = TimeDelta(1);
 
 impl Router {
@@ -13,7 +14,7 @@
     pub(super) fn search_primary(&mut self, now: Timestamp, group: GroupId, actions: &mut Vec<Action>) {
         let view = self.view(now);
         let Some(known_group) = self.endpoints.group(group) else { return };
-        let listed = view.unheard_listed_primary(known_group).map(|endpoint| endpoint.id().clone());
+        let listed = view.unconfirmed_listed_primary(known_group).map(|endpoint| endpoint.id().clone());
         if let Some(listed) = listed {
             self.send_health_checks(now, &[listed], LISTED_PRIMARY_TIMEOUT, actions);
             return;
--- a/crates/routing/src/router/load_balancing.rs
+++ b/crates/routing/src/router/load_balancing.rs
@@ -51,16 +51,16 @@
 pub(super) struct WriteSelection {
     /// The endpoint to believe to be the primary.
     pub(super) primary: EndpointId,
-    /// It was shown to be the primary.
-    pub(super) is_shown: bool,
-    /// So many attempts of the write failed to find the primary that it should wait for one to be shown.
+    /// The latest evidence confirms that it is the primary.
+    pub(super) is_confirmed: bool,
+    /// So many attempts of the write failed to find the primary that it should wait until one is confirmed.
     pub(super) has_exhausted_candidates: bool,
 }
 
 /// How little a replica is preferred: one that was tried or seems to be down serves only where no other is
 /// left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Reluctance {
+struct Penalty {
     was_tried: bool,
     is_suspect: bool,
 }
@@ -85,7 +85,7 @@
         randomness: ReadRandomness,
     ) -> Self {
         let primary_only = view.operation_of(request) == Operation::Read(Consistency::Strong);
-        let mut primary = view.shown_primary(request.group());
+        let mut primary = view.confirmed_primary(request.group());
         if primary.is_none() && primary_only {
             primary = view.primary_to_probe(request.group());
         }
@@ -106,17 +106,14 @@
     fn current_replicas(&self) -> Vec<&'a Endpoint> {
         let is_current = |replica: &&Endpoint| self.view.may_serve(replica, self.required_position);
         let mut current: Vec<_> = self.replicas.iter().copied().filter(is_current).collect();
-        let lowest = current.iter().map(|replica| self.reluctance(replica)).min();
-        let may_serve_reluctantly = lowest == Some(Reluctance::default()) || self.primary.is_none();
-        current.retain(|replica| Some(self.reluctance(replica)) == lowest && may_serve_reluctantly);
+        let lowest = current.iter().map(|replica| self.penalty(replica)).min();
+        let penalized_allowed = lowest == Some(Penalty::default()) || self.primary.is_none();
+        current.retain(|replica| Some(self.penalty(replica)) == lowest && penalized_allowed);
         current
     }
 
-    fn reluctance(&self, replica: &Endpoint) -> Reluctance {
-        Reluctance {
-            was_tried: self.request.has_tried(replica.id()),
-            is_suspect: self.view.is_suspect(replica),
-        }
+    fn penalty(&self, replica: &Endpoint) -> Penalty {
+        Penalty { was_tried: self.request.has_tried(replica.id()), is_suspect: self.view.is_suspect(replica) }
     }
 
     /// Where endpoints serve stale data, the replicas to health-check because their position is unknown or
@@ -229,11 +226,11 @@
         let next = || self.next_candidate(group_id, believed.map(Endpoint::id));
         let primary = kept.or_else(listed).or_else(next)?.id().clone();
         let max_failed = (usable().count() as u32).min(self.settings.max_attempts / 2).max(1);
-        let is_shown = self.shown_primary(group_id).is_some();
+        let is_confirmed = self.confirmed_primary(group_id).is_some();
         Some(WriteSelection {
             primary,
-            is_shown,
-            has_exhausted_candidates: !is_shown && request.failed_primaries() >= max_failed,
+            is_confirmed,
+            has_exhausted_candidates: !is_confirmed && request.failed_primaries() >= max_failed,
         })
     }
 
@@ -260,14 +257,14 @@
 
     /// The listed primary of a group, while nothing else is known of it and it may still respond to its first
     /// health check.
-    pub(super) fn unheard_listed_primary(&self, group: &'a Group) -> Option<&'a Endpoint> {
-        let is_unheard = |endpoint: &&Endpoint| {
+    pub(super) fn unconfirmed_listed_primary(&self, group: &'a Group) -> Option<&'a Endpoint> {
+        let is_unconfirmed = |endpoint: &&Endpoint| {
             let checked_at = endpoint.health_checked_at();
             let may_respond =
                 checked_at == Timestamp::default() || self.now - checked_at < LISTED_PRIMARY_TIMEOUT;
             endpoint.is_listed_primary() && endpoint.role_evidence.is_unknown() && may_respond
         };
         let mut endpoints = self.endpoints.in_group(group).filter(|endpoint| self.accepts_new_work(endpoint));
-        endpoints.find(is_unheard)
+        endpoints.find(is_unconfirmed)
     }
 }
--- a/crates/routing/src/router/primary.rs
+++ b/crates/routing/src/router/primary.rs
@@ -6,7 +6,7 @@
 use crate::primary_search::{PrimarySearch, SearchTarget};
 use crate::{EndpointId, Role, TimeDelta, Timestamp};
 
-/// When an endpoint was last shown to be primary and to be replica, on the fleet's clock.
+/// The latest evidence that an endpoint was the primary and that it was a replica, on the fleet's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RoleEvidence {
     primary_at: Timestamp,
@@ -14,17 +14,17 @@
 }
 
 impl RoleEvidence {
-    /// The role that it was last shown to have; a replica if none was shown.
+    /// The role that the latest evidence shows; a replica if there is none.
     pub(super) fn role(&self) -> Role {
         if self.primary_at > self.replica_at { Role::Primary } else { Role::Replica }
     }
 
-    /// Whether nothing was shown yet.
+    /// Whether there is no evidence yet.
     pub(super) fn is_unknown(&self) -> bool {
         self.primary_at.max(self.replica_at) == Timestamp::default()
     }
 
-    /// When it was last shown to be the primary.
+    /// The time of the latest evidence that it was the primary.
     pub(super) fn primary_at(&self) -> Timestamp {
         self.primary_at
     }
@@ -57,7 +57,7 @@
 pub(super) struct GroupPrimary {
     /// Where writes are sent.
     believed: Option<EndpointId>,
-    /// The attempts of a write found no primary; writes wait until one is shown.
+    /// The attempts of a write found no primary; writes wait until one is confirmed.
     is_unknown: bool,
     search: PrimarySearch,
 }
@@ -68,7 +68,7 @@
         self.believed.as_ref()
     }
 
-    /// Whether writes wait until a primary is shown.
+    /// Whether writes wait until a primary is confirmed.
     pub(super) fn is_unknown(&self) -> bool {
         self.is_unknown
     }
@@ -96,7 +96,7 @@
         self.is_unknown = true;
     }
 
-    /// A primary was shown.
+    /// A primary was confirmed.
     pub(super) fn mark_found(&mut self) {
         self.is_unknown = false;
     }
