--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -1,12 +1,12 @@
 //! Assembles a pooler: creates its parts from the configuration, connects them, and starts their tasks.
 
 use crate::client::accept;
+use crate::client::cancellation::CancellationKeys;
 use crate::client::connection_slots::{ConnectionSlots, SlotLimits};
 use crate::client::context::{ClientContext, RequestClass};
 use crate::client::in_doubt_writes::InDoubtWrites;
 use crate::client::open_request_ids::OpenRequestIds;
 use crate::client::read_ahead::ReadAheadBudget;
-use crate::client::session_keys::SessionKeys;
 use crate::config::Config;
 use crate::discovery::address::DiscoveryAddress;
 use crate::discovery::backoff::Backoff;
@@ -150,7 +150,7 @@
             in_doubt_writes: self.in_doubt_writes.clone(),
             longest_deadline: config.proxy.longest_deadline,
             open_request_ids: OpenRequestIds::default(),
-            session_keys: SessionKeys::default(),
+            cancellation_keys: CancellationKeys::default(),
             full_retry_after: no_slot_retry_after(&config.settings),
             read_ahead: Rc::new(ReadAheadBudget::new(DISCARD_BUFFER_SIZE)),
         }
--- a/crates/proxy/src/client/session_keys.rs
+++ b/crates/proxy/src/client/cancellation.rs
@@ -1,4 +1,4 @@
-//! The open sessions by the keys with which clients cancel their requests.
+//! Cancelling requests: each session has a key that a CancelRequest on another connection can name.
 
 use crate::protocol::BackendKeyData;
 use event_listener::{Event, EventListener};
@@ -9,21 +9,21 @@
 
 /// The keys of all open sessions.
 #[derive(Debug, Default)]
-pub(crate) struct SessionKeys {
+pub(crate) struct CancellationKeys {
     /// Generates secrets that cannot be guessed.
     secrets: RandomState,
     sessions: RefCell<HashMap<BackendKeyData, Rc<Event>>>,
 }
 
-impl SessionKeys {
+impl CancellationKeys {
     /// Registers the session with this number until the guard is dropped.
-    pub(crate) fn register(&self, session_number: u64) -> RegisteredSession<'_> {
+    pub(crate) fn register(&self, session_number: u64) -> CancellableSession<'_> {
         let (_, process_id) = split_halves(session_number);
         let (secret_key, _) = split_halves(self.secrets.hash_one(session_number));
         let key = BackendKeyData { process_id, secret_key };
         let cancelled = Rc::new(Event::new());
         self.sessions.borrow_mut().insert(key, cancelled.clone());
-        RegisteredSession { keys: self, key, cancelled }
+        CancellableSession { keys: self, key, cancelled }
     }
 
     /// Cancels the request that the session with this key has in flight, if there is one.
@@ -41,13 +41,13 @@
 }
 
 /// A session that can be cancelled by its key until this is dropped.
-pub(crate) struct RegisteredSession<'a> {
-    keys: &'a SessionKeys,
+pub(crate) struct CancellableSession<'a> {
+    keys: &'a CancellationKeys,
     key: BackendKeyData,
     cancelled: Rc<Event>,
 }
 
-impl RegisteredSession<'_> {
+impl CancellableSession<'_> {
     /// The session's key.
     pub(crate) fn key(&self) -> BackendKeyData {
         self.key
@@ -59,7 +59,7 @@
     }
 }
 
-impl Drop for RegisteredSession<'_> {
+impl Drop for CancellableSession<'_> {
     fn drop(&mut self) {
         self.keys.sessions.borrow_mut().remove(&self.key);
     }
--- a/crates/proxy/src/client/commands.rs
+++ b/crates/proxy/src/client/commands.rs
@@ -5,7 +5,7 @@
 use crate::client::errors::ErrorReply;
 use crate::client::requests::{RoutedRequest, UnsentRequest};
 use crate::protocol::{
-    ProtocolError, StatementKind, classify_statement, frontend_tag, parse_frontend_message, parse_query,
+    HEADER_SIZE, ProtocolError, StatementKind, classify_statement, frontend_tag, parse_query,
 };
 
 /// A command of a client.
@@ -26,7 +26,7 @@
     Terminate,
 }
 
-/// Takes the complete command of `size` bytes at the front of the buffer.
+/// Takes the complete command with this tag, of `size` bytes, at the front of the buffer.
 ///
 /// # Errors
 ///
@@ -34,10 +34,10 @@
 pub(super) fn take_command<'a>(
     context: &'a ClientContext,
     buffer: &mut ReadBuffer,
+    tag: u8,
     size: usize,
 ) -> Result<Command<'a>, ProtocolError> {
-    let Some(message) = parse_frontend_message(buffer.data())? else { return Ok(Command::Terminate) };
-    let command = match message.tag {
+    let command = match tag {
         frontend_tag::QUERY => return take_query(context, buffer, size),
         frontend_tag::TERMINATE => return Ok(Command::Terminate),
         frontend_tag::SYNC => Command::Sync,
@@ -60,8 +60,7 @@
     buffer: &mut ReadBuffer,
     size: usize,
 ) -> Result<Command<'a>, ProtocolError> {
-    let Some(message) = parse_frontend_message(buffer.data())? else { return Ok(Command::Terminate) };
-    let statement = parse_query(message.body)?;
+    let statement = parse_query(&buffer.data()[HEADER_SIZE..size])?;
     let command = match classify_statement(statement) {
         Ok(StatementKind::Request(comment)) => {
             let arrival_time = buffer.arrival_time(size);
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -28,7 +28,7 @@
     /// Its startup message is not complete.
     Startup,
     /// Its session has begun, and it has made no request yet.
-    Silent,
+    AwaitingFirstRequest,
     /// It has made a request.
     Established,
 }
@@ -110,7 +110,7 @@
     /// Returns the allocation of a command that has been answered.
     pub(super) fn reuse_command_buffer(&mut self, bytes: Vec<u8>) {
         self.buffer.reuse(bytes);
-        self.read_ahead.set_buffered(self.buffer.data().len());
+        self.read_ahead.release_unused_permit(self.buffer.data().len());
     }
 
     /// Whether a part of a command was read that was not answered.
@@ -158,12 +158,15 @@
         Some(self.waiting_since + COMMAND_TIMEOUT)
     }
 
-    /// Pauses, and can be evicted meanwhile; false if it was.
+    /// Pauses, and can be evicted meanwhile as readily as if it had made no request; false if it was.
     pub(super) async fn pause(&self, pause: Duration) -> bool {
         let timer = async {
             Timer::after(pause).await;
         };
-        self.slot.while_evictable(EvictionClass::Silent, self.waiting_since, timer).await.is_some()
+        self.slot
+            .while_evictable(EvictionClass::AwaitingFirstRequest, self.waiting_since, timer)
+            .await
+            .is_some()
     }
 
     /// Sends all pieces, one after another.
@@ -224,7 +227,7 @@
 
 fn eviction_class(phase: SessionPhase) -> EvictionClass {
     match phase {
-        SessionPhase::Startup | SessionPhase::Silent => EvictionClass::Silent,
+        SessionPhase::Startup | SessionPhase::AwaitingFirstRequest => EvictionClass::AwaitingFirstRequest,
         SessionPhase::Established => EvictionClass::Idle,
     }
 }
--- a/crates/proxy/src/client/connection_slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -2,7 +2,7 @@
 //!
 //! A client with a request in flight keeps its slot. Of the others, those whose connections are closing anyway are
 //! evicted first, then those that have made no request yet, oldest first, then those that have been idle longest.
-//! Clients that have made no request share a part of the slots among themselves, so that a flood of silent connections
+//! Clients that have made no request share a part of the slots among themselves, so that a flood of connections without a request
 //! evicts none but its own. Clients that have made requests are limited as well: where each client may hold only so many
 //! connections, those that make one request and keep their connections would leave none for others.
 
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// The part of the slots that clients without a request may occupy.
-const SILENT_DIVISOR: usize = 4;
+const AWAITING_FIRST_REQUEST_DIVISOR: usize = 4;
 
 /// How readily the connection of a client without a request in flight is evicted, the readiest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,19 +25,19 @@
     /// The pooler has already told the client that it closes the connection.
     Closing,
     /// The client has made no request yet.
-    Silent,
+    AwaitingFirstRequest,
     /// The client is between two requests.
     Idle,
 }
 
 impl EvictionClass {
     /// In the order of eviction.
-    const ALL: [Self; 3] = [Self::Closing, Self::Silent, Self::Idle];
+    const ALL: [Self; 3] = [Self::Closing, Self::AwaitingFirstRequest, Self::Idle];
 
     /// The age from which a connection may be evicted: the client of a younger one may be about to send.
     const fn min_age(self) -> Duration {
         match self {
-            Self::Closing | Self::Silent => Duration::from_millis(5),
+            Self::Closing | Self::AwaitingFirstRequest => Duration::from_millis(5),
             Self::Idle => Duration::from_millis(20),
         }
     }
@@ -75,14 +75,14 @@
 #[derive(Debug)]
 pub struct ConnectionSlots {
     limits: SlotLimits,
-    max_silent: usize,
+    max_awaiting_first_request: usize,
     in_use: Cell<usize>,
     last_number: Cell<u64>,
     freed: Event,
     /// The connections that can be evicted; the latch tells their tasks.
     evictable: RefCell<BTreeMap<EvictionKey, Rc<Latch>>>,
-    /// How many of them are silent.
-    silent: Cell<usize>,
+    /// How many of them await their first request.
+    awaiting_first_request: Cell<usize>,
     /// No connection is older than this.
     created_at: Instant,
 }
@@ -93,12 +93,12 @@
     pub fn new(limits: SlotLimits) -> Self {
         Self {
             limits,
-            max_silent: (limits.clients / SILENT_DIVISOR).max(1),
+            max_awaiting_first_request: (limits.clients / AWAITING_FIRST_REQUEST_DIVISOR).max(1),
             in_use: Cell::new(0),
             last_number: Cell::new(0),
             freed: Event::new(),
             evictable: RefCell::default(),
-            silent: Cell::new(0),
+            awaiting_first_request: Cell::new(0),
             created_at: Instant::now(),
         }
     }
@@ -115,22 +115,22 @@
             if self.established() >= self.limits.established {
                 self.evict_one(EvictionClass::Idle..=EvictionClass::Idle);
             }
-            let silent_is_full = self.silent.get() >= self.max_silent;
+            let awaiting_is_full = self.awaiting_first_request.get() >= self.max_awaiting_first_request;
             let is_full = self.in_use.get() >= self.limits.clients;
-            if !(silent_is_full || is_full) {
+            if !(awaiting_is_full || is_full) {
                 return Admission::Admitted;
             }
-            let last_class = if is_full { EvictionClass::Idle } else { EvictionClass::Silent };
+            let last_class = if is_full { EvictionClass::Idle } else { EvictionClass::AwaitingFirstRequest };
             if self.evict_one(EvictionClass::Closing..=last_class) {
                 return Admission::Admitted;
             }
-            if !silent_is_full && self.in_use.get() < self.limits.clients + self.limits.rejected {
+            if !awaiting_is_full && self.in_use.get() < self.limits.clients + self.limits.rejected {
                 return Admission::Rejected;
             }
-            // The silent connections are too young to be told from clients that are about to send.
+            // These connections are too young to be told from clients that are about to send.
             let freed = self.freed.listen();
             or(freed, async {
-                let _ = Timer::after(EvictionClass::Silent.min_age()).await;
+                let _ = Timer::after(EvictionClass::AwaitingFirstRequest.min_age()).await;
             })
             .await;
         }
@@ -170,15 +170,15 @@
 
     fn insert_evictable(&self, key: EvictionKey, evicted: Rc<Latch>) {
         self.evictable.borrow_mut().insert(key, evicted);
-        if key.class == EvictionClass::Silent {
-            self.silent.set(self.silent.get() + 1);
+        if key.class == EvictionClass::AwaitingFirstRequest {
+            self.awaiting_first_request.set(self.awaiting_first_request.get() + 1);
         }
     }
 
     fn remove_evictable(&self, key: EvictionKey) -> Option<Rc<Latch>> {
         let evicted = self.evictable.borrow_mut().remove(&key);
-        if evicted.is_some() && key.class == EvictionClass::Silent {
-            self.silent.set(self.silent.get() - 1);
+        if evicted.is_some() && key.class == EvictionClass::AwaitingFirstRequest {
+            self.awaiting_first_request.set(self.awaiting_first_request.get() - 1);
         }
         evicted
     }
--- a/crates/proxy/src/client/context.rs
+++ b/crates/proxy/src/client/context.rs
@@ -1,10 +1,10 @@
 //! What all client sessions share.
 
+use crate::client::cancellation::CancellationKeys;
 use crate::client::connection_slots::ConnectionSlots;
 use crate::client::in_doubt_writes::InDoubtWrites;
 use crate::client::open_request_ids::OpenRequestIds;
 use crate::client::read_ahead::ReadAheadBudget;
-use crate::client::session_keys::SessionKeys;
 use crate::lifecycle::stages::ShutdownStages;
 use crate::metrics::Counters;
 use crate::router_handle::RouterHandle;
@@ -45,8 +45,8 @@
     pub(crate) longest_deadline: Duration,
     /// The ids of the requests in flight, at most one a connection.
     pub(crate) open_request_ids: OpenRequestIds,
-    /// The sessions that a CancelRequest can name.
-    pub(crate) session_keys: SessionKeys,
+    /// The keys with which clients cancel their requests.
+    pub(crate) cancellation_keys: CancellationKeys,
     /// When clients that exceed the connection limit should retry; `None` where clients are not told.
     pub(crate) full_retry_after: Option<TimeDelta>,
     /// The memory that clients share for commands sent ahead.
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -1,6 +1,7 @@
 //! The client side: accepting connections, the sessions on them, and the limits on their number.
 
 pub mod accept;
+pub(crate) mod cancellation;
 mod commands;
 mod connection;
 pub mod connection_slots;
@@ -12,5 +13,4 @@
 mod requests;
 mod responses;
 mod session;
-pub(crate) mod session_keys;
 mod startup;
--- a/crates/proxy/src/client/read_ahead.rs
+++ b/crates/proxy/src/client/read_ahead.rs
@@ -169,9 +169,9 @@
         true
     }
 
-    /// Gives back the permit for a large buffer once no more than this is buffered, if that is small.
-    pub(crate) fn set_buffered(&mut self, bytes: usize) {
-        if bytes < BUFFER_LIMIT {
+    /// Releases the permit for a large buffer, unless so many buffered bytes still need it.
+    pub(crate) fn release_unused_permit(&mut self, buffered: usize) {
+        if buffered < BUFFER_LIMIT {
             self.large_buffer = None;
         }
     }
--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -1,10 +1,10 @@
 //! Making a request of a statement, and serving it until it has its final response.
 
 use crate::buffer::ReadBuffer;
+use crate::client::cancellation::CancellableSession;
 use crate::client::connection::ClientConnection;
 use crate::client::context::ClientContext;
 use crate::client::open_request_ids::OpenRequestId;
-use crate::client::session_keys::RegisteredSession;
 use crate::protocol::{HEADER_SIZE, RequestComment, first_quoted_literal};
 use crate::request::{AbortReason, ClientRequest, FinalResponse, serve};
 use crate::server::statement::{ClientStatement, QueryResponse};
@@ -93,7 +93,7 @@
 pub(super) async fn serve_request(
     context: &ClientContext,
     connection: &mut ClientConnection<'_>,
-    session: &RegisteredSession<'_>,
+    session: &CancellableSession<'_>,
     request: ClientRequest<ClientStatement>,
     request_id: &str,
 ) -> FinalResponse<QueryResponse> {
--- a/crates/proxy/src/client/session.rs
+++ b/crates/proxy/src/client/session.rs
@@ -1,5 +1,6 @@
 //! The session of one client: its startup, and its commands in order, each answered before the next one begins.
 
+use crate::client::cancellation::CancellableSession;
 use crate::client::commands::{Command, take_command};
 use crate::client::connection::{ClientConnection, ClosedBy, ReadOutcome, SessionPhase};
 use crate::client::connection_slots::{Admission, Slot};
@@ -8,7 +9,6 @@
 use crate::client::read_ahead::NextSkipped;
 use crate::client::requests::{RoutedRequest, serve_request};
 use crate::client::responses::{reject_skipped_commands, send_final_response};
-use crate::client::session_keys::RegisteredSession;
 use crate::client::startup::{StartupOutcome, start_session};
 use crate::protocol::write::{self, Severity};
 use crate::protocol::{frontend_tag, parse_frontend_message};
@@ -30,7 +30,7 @@
 /// The session of one client.
 pub(super) struct ClientSession<'a> {
     context: &'a ClientContext,
-    registration: RegisteredSession<'a>,
+    registration: CancellableSession<'a>,
     connection: ClientConnection<'a>,
     rejected_commands: u32,
     /// After an error in the extended query protocol, all messages up to Sync are discarded.
@@ -42,7 +42,7 @@
     pub(super) fn new(context: &'a ClientContext, stream: Async<TcpStream>, slot: Slot<'a>) -> Self {
         Self {
             context,
-            registration: context.session_keys.register(slot.number()),
+            registration: context.cancellation_keys.register(slot.number()),
             connection: ClientConnection::new(context, stream, slot),
             rejected_commands: 0,
             skip_until_sync: false,
@@ -84,7 +84,7 @@
                 continue;
             }
             out.clear();
-            let command = take_command(self.context, self.connection.buffer(), size)?;
+            let command = take_command(self.context, self.connection.buffer(), tag, size)?;
             if let ControlFlow::Break(closed_by) = self.execute(command, &mut out).await? {
                 return Ok(closed_by);
             }
--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -36,7 +36,7 @@
         connection.close_with_error(error).await?;
         return Ok(StartupOutcome::Done);
     }
-    connection.enter_phase(SessionPhase::Silent);
+    connection.enter_phase(SessionPhase::AwaitingFirstRequest);
     let mut out = Vec::with_capacity(SESSION_START_CAPACITY);
     write::session_start(&mut out, key);
     connection.send(&[&out]).await?;
@@ -59,7 +59,7 @@
         match message {
             StartupMessage::EncryptionRequest => connection.send(&[ENCRYPTION_NOT_SUPPORTED]).await?,
             StartupMessage::CancelRequest(key) => {
-                context.session_keys.cancel(key);
+                context.cancellation_keys.cancel(key);
                 return Ok(StartupOutcome::Done);
             }
             StartupMessage::SessionStart => return Ok(StartupOutcome::SessionStarted),
--- a/crates/proxy/src/protocol/backend.rs
+++ b/crates/proxy/src/protocol/backend.rs
@@ -1,7 +1,10 @@
 //! The messages that a server sends.
 
-use super::message::{self, HEADER_SIZE, LENGTH_SIZE};
-use super::{MAX_VALUE_SIZE, Message, ProtocolError, SqlState, backend_tag};
+use super::error::ProtocolError;
+use super::limits::MAX_VALUE_SIZE;
+use super::message::{self, HEADER_SIZE, LENGTH_SIZE, Message};
+use super::sql_state::SqlState;
+use super::{backend_tag, error_field};
 
 /// The largest ErrorResponse, NoticeResponse or NotificationResponse.
 const MAX_NOTICE_LENGTH: usize = 8 * 1024;
@@ -19,20 +22,6 @@
 /// The length that a DataRow gives for NULL.
 const NULL_LENGTH: i32 = -1;
 
-/// The fields of an ErrorResponse.
-pub(super) mod error_field {
-    /// The severity, possibly localized.
-    pub(in crate::protocol) const SEVERITY: u8 = b'S';
-    /// The severity, never localized.
-    pub(in crate::protocol) const SEVERITY_NON_LOCALIZED: u8 = b'V';
-    /// The SQLSTATE code.
-    pub(in crate::protocol) const CODE: u8 = b'C';
-    /// The message for people.
-    pub(in crate::protocol) const MESSAGE: u8 = b'M';
-    /// The detail.
-    pub(in crate::protocol) const DETAIL: u8 = b'D';
-}
-
 /// The fields of an ErrorResponse that decide what becomes of the query and its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
--- a/crates/proxy/src/protocol/frontend.rs
+++ b/crates/proxy/src/protocol/frontend.rs
@@ -1,7 +1,8 @@
 //! The messages that a client sends.
 
-use super::message::{self, LENGTH_SIZE};
-use super::{MAX_FRONTEND_MESSAGE_SIZE, MAX_STARTUP_MESSAGE_SIZE, Message, ProtocolError};
+use super::error::ProtocolError;
+use super::limits::{MAX_FRONTEND_MESSAGE_SIZE, MAX_STARTUP_MESSAGE_SIZE};
+use super::message::{self, LENGTH_SIZE, Message};
 
 /// The major protocol version that is spoken.
 const PROTOCOL_MAJOR_VERSION: u16 = 3;
--- a/crates/proxy/src/protocol/message.rs
+++ b/crates/proxy/src/protocol/message.rs
@@ -1,6 +1,6 @@
 //! The framing that all messages but the startup messages share: a tag, a length that counts itself, and a body.
 
-use super::ProtocolError;
+use super::error::ProtocolError;
 
 /// The size of a message's tag.
 pub(super) const TAG_SIZE: usize = 1;
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -7,8 +7,10 @@
 mod backend;
 pub mod backend_tag;
 mod error;
+mod error_field;
 mod frontend;
 pub mod frontend_tag;
+mod limits;
 mod message;
 mod query_skipper;
 mod response_parser;
@@ -25,16 +27,10 @@
 pub use frontend::{
     BackendKeyData, StartupMessage, parse_frontend_message, parse_query, parse_startup_message,
 };
+pub use limits::{MAX_FRONTEND_MESSAGE_SIZE, MAX_STARTUP_MESSAGE_SIZE, MAX_VALUE_SIZE};
 pub use message::{HEADER_SIZE, Message};
 pub use query_skipper::QuerySkipper;
 pub use response_parser::{ResponseParser, ResponsePart};
 pub use server_status::{ServerStatus, parse_load_report};
 pub use sql_state::{InvalidSqlState, SqlState};
 pub use statement::{RequestComment, StatementKind, classify_statement, first_quoted_literal};
-
-/// The largest value that a client writes or a server returns, in bytes.
-pub const MAX_VALUE_SIZE: usize = 64 * 1024;
-/// The largest message accepted from a client, in bytes: a value doubles in size as hex digits in a statement.
-pub const MAX_FRONTEND_MESSAGE_SIZE: usize = 2 * MAX_VALUE_SIZE + 4 * 1024;
-/// The largest startup message, in bytes; the same limit as PostgreSQL's own.
-pub const MAX_STARTUP_MESSAGE_SIZE: usize = 10_000;
--- a/crates/proxy/src/protocol/query_skipper.rs
+++ b/crates/proxy/src/protocol/query_skipper.rs
@@ -1,7 +1,9 @@
 //! Skipping commands that a client has sent ahead: they are told apart by their headers, and no body is kept.
 
+use super::error::ProtocolError;
+use super::frontend_tag;
+use super::limits::MAX_FRONTEND_MESSAGE_SIZE;
 use super::message::{self, HEADER_SIZE, TAG_SIZE};
-use super::{MAX_FRONTEND_MESSAGE_SIZE, ProtocolError, frontend_tag};
 
 /// Skips a stream of simple queries that arrives in pieces of any size.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/proxy/src/protocol/response_parser.rs
+++ b/crates/proxy/src/protocol/response_parser.rs
@@ -4,7 +4,11 @@
     ErrorResponse, describes_one_column, is_command_complete, is_ready_for_query, parse_data_row,
     parse_error_response, parse_parameter_status,
 };
-use super::{Message, ProtocolError, ServerStatus, SqlState, backend_tag};
+use super::backend_tag;
+use super::error::ProtocolError;
+use super::message::Message;
+use super::server_status::ServerStatus;
+use super::sql_state::SqlState;
 
 /// The state of one response: RowDescription of one column, one DataRow and CommandComplete, or an ErrorResponse;
 /// ReadyForQuery ends both. Any other sequence is an error, and nothing of such a response counts.
--- a/crates/proxy/src/protocol/statement.rs
+++ b/crates/proxy/src/protocol/statement.rs
@@ -1,6 +1,6 @@
 //! The statement of a Query: the comment that describes a request, and the quoted key.
 
-use super::ProtocolError;
+use super::error::ProtocolError;
 use std::ops::Range;
 
 /// The longest request id, in bytes.
--- a/crates/proxy/src/protocol/write.rs
+++ b/crates/proxy/src/protocol/write.rs
@@ -1,8 +1,9 @@
 //! The messages that the pooler itself sends, appended to a buffer.
 
-use super::backend::error_field;
+use super::frontend::BackendKeyData;
 use super::message::{HEADER_SIZE, LENGTH_SIZE};
-use super::{BackendKeyData, SqlState, backend_tag, frontend_tag};
+use super::sql_state::SqlState;
+use super::{backend_tag, error_field, frontend_tag};
 
 /// Version 3.0, as a StartupMessage has it.
 const PROTOCOL_VERSION: u32 = 3 << 16;
