--- a/crates/service-registry/src/watcher.rs
+++ b/crates/service-registry/src/watcher.rs
@@ -169,7 +169,7 @@
             let reported = summary.hash_code.as_deref().unwrap_or_default();
             let computed = self.digest.hash_code();
             let line = format_args!(
-                "registry: {name}: a snapshot whose hash code '{reported}' does not match what it holds, \
+                "registry: {name}: a snapshot whose hash code '{reported}' does not agree with what it holds, \
                  '{computed}'"
             );
             self.log_state(LoggedState::HashMismatch, &line);
