--- a/crates/operator-config/src/unify.rs
+++ b/crates/operator-config/src/unify.rs
@@ -3,7 +3,7 @@
 use crate::diagnostic::{Diagnostic, DiagnosticKind, Diagnostics, Position, collect_all};
 use crate::suggestion::Suggestion;
 use crate::syntax::{Alternative, Presence};
-use crate::value::{Constraint, FieldValue, Record, Scalar, Value, ValueKind};
+use crate::value::{Constraint, FieldValue, Record, Value, ValueKind};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many alternatives can be possible at once.
@@ -29,7 +29,9 @@
         {
             ValueKind::Plain(scalar.clone())
         }
-        (ValueKind::Plain(scalar), ValueKind::Plain(same)) if scalar == same => plain(scalar),
+        (ValueKind::Plain(scalar), ValueKind::Plain(same)) if scalar == same => {
+            ValueKind::Plain(scalar.clone())
+        }
         (ValueKind::ListOf(item), ValueKind::ListOf(same)) => ValueKind::ListOf(Box::new(unify(item, same)?)),
         (ValueKind::ListOf(item), ValueKind::List(items))
         | (ValueKind::List(items), ValueKind::ListOf(item)) => {
@@ -44,10 +46,6 @@
     Ok(Value { kind, position })
 }
 
-fn plain(scalar: &Scalar) -> ValueKind {
-    ValueKind::Plain(scalar.clone())
-}
-
 /// The diagnostic for two values that nothing satisfies.
 fn mismatch(one: &Value, other: &Value, position: Position) -> Diagnostic {
     // What only the schema says is what was expected.
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -59,6 +59,7 @@
             "11:2: there is no field 'intervall' here; is 'interval' meant?",
         ),
         ("\"5s\"", "5", "11:12: 'interval': 5 does not fit =~"),
+        ("\"5s\"", "\"it's\"", "11:12: 'interval': \"it's\" does not fit"),
         ("\"5s\"", "\"5 s\"", "11:12: 'interval': \"5 s\" does not fit"),
         ("\"5s\"", "\"5ms\"", "11:12: 'registry.interval': 5ms is not between 100ms and 3600s"),
         ("0.25", "1.5", "12:14: 'lost_share': 1.5 does not fit number & >=0 & <=1 or 0.5"),
--- a/crates/pooler/src/commands/list_endpoints.rs
+++ b/crates/pooler/src/commands/list_endpoints.rs
@@ -110,13 +110,25 @@
 }
 
 fn table_report(membership: &Membership, counters: &RegistryCounters) -> String {
-    let mut table = table_row(["MEMBER", "ADDRESS", "GROUP", "ZONE", "STATE", "ROLE"]);
+    let header = TableRow {
+        id: "MEMBER",
+        address: "ADDRESS",
+        group: "GROUP",
+        zone: "ZONE",
+        state: "STATE",
+        role: "ROLE",
+    };
+    let mut table = header.to_string();
     for (id, endpoint) in membership.iter() {
-        let address = endpoint.address.map_or("-".to_owned(), |address| address.to_string());
-        let group = endpoint.group.0.to_string();
-        let zone = if endpoint.zone.is_empty() { "-" } else { &endpoint.zone };
-        let role = if endpoint.primary { "primary" } else { "-" };
-        table += &table_row([&id.0, &address, &group, zone, state_name(endpoint.lifecycle), role]);
+        let row = TableRow {
+            id: &id.0,
+            address: &endpoint.address.map_or("-".to_owned(), |address| address.to_string()),
+            group: &endpoint.group.0.to_string(),
+            zone: if endpoint.zone.is_empty() { "-" } else { &endpoint.zone },
+            state: state_name(endpoint.lifecycle),
+            role: if endpoint.primary { "primary" } else { "-" },
+        };
+        table += &row.to_string();
     }
     let (rejected, outside) = (counters.rejected_instances.get(), counters.outside_networks.get());
     if rejected > 0 {
@@ -125,6 +137,19 @@
     table
 }
 
-fn table_row([id, address, group, zone, state, role]: [&str; 6]) -> String {
-    format!("{id:<24} {address:<24} {group:>6} {zone:<12} {state:<9} {role}\n")
+/// A line of the table.
+struct TableRow<'a> {
+    id: &'a str,
+    address: &'a str,
+    group: &'a str,
+    zone: &'a str,
+    state: &'a str,
+    role: &'a str,
+}
+
+impl fmt::Display for TableRow<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Self { id, address, group, zone, state, role } = self;
+        writeln!(f, "{id:<24} {address:<24} {group:>6} {zone:<12} {state:<9} {role}")
+    }
 }
--- a/crates/pooler/tests/registry.rs
+++ b/crates/pooler/tests/registry.rs
@@ -128,6 +128,23 @@
     test.assert_rules_kept();
 }
 
+#[test]
+fn registry_faults_are_logged_in_words_that_alerts_look_for() {
+    let faults = [
+        (ReadBehavior::WrongHash, "does not agree"),
+        (ReadBehavior::Empty, "is not believed; carrying on with what is known"),
+        (ReadBehavior::Status { code: 500, retry_after: None }, "status 500; carrying on with what is known"),
+    ];
+    let mut test = start(4, 1, "");
+    for (behavior, words) in faults {
+        test.perform(Action::SetBehavior(0, behavior));
+        assert!(test.pooler.wait_for_log(words).is_ok(), "{words}");
+        test.perform(Action::SetBehavior(0, ReadBehavior::Normal));
+        test.wait_until_applied(0);
+    }
+    test.assert_rules_kept();
+}
+
 #[test]
 fn a_server_that_left_or_moved_receives_no_requests_at_its_old_address() {
     let mut test = start(4, 1, "");
