--- a/crates/proxy/src/client/connection_slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -2,9 +2,9 @@
 //!
 //! A client with a request in flight keeps its slot. Of the others, those whose connections are closing anyway are
 //! evicted first, then those that have made no request yet, oldest first, then those that have been idle longest.
-//! Clients that have made no request share a part of the slots among themselves, so that a flood of connections without a request
-//! evicts none but its own. Clients that have made requests are limited as well: where each client may hold only so many
-//! connections, those that make one request and keep their connections would leave none for others.
+//! Clients that have made no request share a part of the slots among themselves, so that a flood of connections without
+//! a request evicts none but its own. Clients that have made requests are limited as well: where each client may hold
+//! only so many connections, those that make one request and keep their connections would leave none for others.
 
 use crate::latch::Latch;
 use async_io::Timer;
--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -10,15 +10,11 @@
 use crate::server::statement::{ClientStatement, QueryResponse};
 use crate::time_conversion::to_time_delta;
 use futures_lite::future::or;
-use pooler_routing::{
-    ClassId, Consistency, EndpointId, GroupId, Operation, SessionKey, TimeDelta, Timestamp,
-};
+use pooler_routing::{ClassId, Consistency, EndpointId, Operation, SessionKey, TimeDelta, Timestamp};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-const MICROS_PER_MILLI: f64 = 1_000.0;
-
 /// A request with its statement, ready to be routed.
 pub(super) struct RoutedRequest<'a> {
     /// The request.
@@ -49,9 +45,9 @@
         let request = ClientRequest {
             class,
             session: session_key(operation, statement),
-            group: GroupId(comment.group),
-            deadline: deadline(context, comment.timeout_ms, arrival_time),
-            last_write: comment.last_write_ms.map(|millis| Timestamp((millis * MICROS_PER_MILLI) as i64)),
+            group: comment.group,
+            deadline: deadline(context, comment.timeout, arrival_time),
+            last_write: comment.last_write,
             query: (),
         };
         Some(Self { request, id, timeout_digits: comment.timeout_digits.clone() })
@@ -82,10 +78,10 @@
 }
 
 /// When the client gives up. Its timeout counts from when it sent the request, which may have waited behind others.
-fn deadline(context: &ClientContext, timeout_ms: f64, arrival_time: Option<Instant>) -> Timestamp {
+fn deadline(context: &ClientContext, timeout: TimeDelta, arrival_time: Option<Instant>) -> Timestamp {
     let waited = arrival_time.map_or(Duration::ZERO, |arrival| arrival.elapsed());
-    let timeout = TimeDelta((timeout_ms * MICROS_PER_MILLI) as i64);
-    context.router.now() - to_time_delta(waited) + timeout.min(to_time_delta(context.longest_deadline))
+    let timeout = timeout.min(to_time_delta(context.longest_deadline));
+    context.router.now() - to_time_delta(waited) + timeout
 }
 
 /// Routes a request and waits for its final response. It is abandoned when the client closes its connection or cancels
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -12,6 +12,7 @@
 pub mod frontend_tag;
 mod limits;
 mod message;
+mod milliseconds;
 mod query_skipper;
 mod response_parser;
 mod server_status;
--- a/crates/proxy/src/protocol/server_status.rs
+++ b/crates/proxy/src/protocol/server_status.rs
@@ -1,5 +1,6 @@
 //! What a server reports of itself in ParameterStatus messages beside a response, and its load reports.
 
+use super::milliseconds;
 use pooler_routing::{LoadReportField, ResponseMetadata, Role, Timestamp};
 
 /// The parameter with the server's role, and its two values.
@@ -15,7 +16,6 @@
 const MAX_LOG_POSITION_MILLIS: f64 = 1e14;
 /// No log position in a load report is a Unix time in seconds of this or beyond.
 const MAX_LOG_POSITION_SECONDS: f64 = 1e11;
-const MICROS_PER_MILLI: f64 = 1_000.0;
 
 /// The state of a server as it reported it beside a response.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -54,11 +54,11 @@
     }
 }
 
-/// Parses a log position, a Unix time in milliseconds; the router counts in microseconds.
+/// Parses a log position, a Unix time in milliseconds.
 fn parse_log_position(value: &str) -> Option<Timestamp> {
     let millis: f64 = value.parse().ok()?;
     let is_plausible = (0.0..MAX_LOG_POSITION_MILLIS).contains(&millis);
-    is_plausible.then_some(Timestamp((millis * MICROS_PER_MILLI) as i64))
+    is_plausible.then(|| milliseconds::to_timestamp(millis))
 }
 
 /// Parses a load report such as `inflight=7,util=0.61` into its values in the order of `fields`. A report that lacks a
--- a/crates/proxy/src/protocol/statement.rs
+++ b/crates/proxy/src/protocol/statement.rs
@@ -1,6 +1,8 @@
 //! The statement of a Query: the comment that describes a request, and the quoted key.
 
 use super::error::ProtocolError;
+use super::milliseconds;
+use pooler_routing::{GroupId, TimeDelta, Timestamp};
 use std::ops::Range;
 
 /// The longest request id, in bytes.
@@ -28,14 +30,14 @@
     pub request_id: &'a str,
     /// The name of the request's class.
     pub class: &'a str,
-    /// How long the client waits for a response, in milliseconds.
-    pub timeout_ms: f64,
+    /// How long the client waits for a response.
+    pub timeout: TimeDelta,
     /// Where the timeout's digits are in the statement: they are rewritten for each attempt.
     pub timeout_digits: Range<usize>,
-    /// The number of the group of endpoints.
-    pub group: i64,
-    /// When the session last committed, as a Unix time in milliseconds; only in deployments whose clients say so.
-    pub last_write_ms: Option<f64>,
+    /// The group of endpoints.
+    pub group: GroupId,
+    /// When the session last committed, in Unix time; only in deployments whose clients say so.
+    pub last_write: Option<Timestamp>,
 }
 
 /// What a statement asks of the pooler.
@@ -124,15 +126,15 @@
 fn parse_request_comment(statement: &str, range: Range<usize>) -> Result<RequestComment<'_>, ProtocolError> {
     let fields = CommentFields::split(statement, range)?;
     let (timeout, timeout_digits) = fields.timeout.ok_or(MALFORMED_COMMENT)?;
-    let timeout_ms = parse_timeout(timeout)?;
+    let timeout = parse_timeout(timeout)?;
     let group = fields.group.map_or(Ok(0), str::parse).map_err(|_| MALFORMED_COMMENT)?;
-    let last_write_ms = fields.last_write.map(parse_last_write).transpose()?;
+    let last_write = fields.last_write.map(parse_last_write).transpose()?;
     let request_id = fields.request_id.filter(|id| is_request_id(id)).ok_or(MALFORMED_COMMENT)?;
     let class = fields.class.ok_or(MALFORMED_COMMENT)?;
-    Ok(RequestComment { request_id, class, timeout_ms, timeout_digits, group, last_write_ms })
+    Ok(RequestComment { request_id, class, timeout, timeout_digits, group: GroupId(group), last_write })
 }
 
-fn parse_timeout(text: &str) -> Result<f64, ProtocolError> {
+fn parse_timeout(text: &str) -> Result<TimeDelta, ProtocolError> {
     // Signs, exponents, "inf" and "nan" are turned down: the standard library would parse them all.
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return Err(MALFORMED_COMMENT);
@@ -141,11 +143,15 @@
     if !(0.0..TIMEOUT_LIMIT_MILLIS).contains(&millis) {
         return Err(MALFORMED_COMMENT);
     }
-    Ok(millis)
+    Ok(milliseconds::to_time_delta(millis))
 }
 
-fn parse_last_write(text: &str) -> Result<f64, ProtocolError> {
-    text.parse().ok().filter(|millis: &f64| millis.is_finite()).ok_or(MALFORMED_COMMENT)
+fn parse_last_write(text: &str) -> Result<Timestamp, ProtocolError> {
+    let millis: f64 = text.parse().map_err(|_| MALFORMED_COMMENT)?;
+    if !millis.is_finite() {
+        return Err(MALFORMED_COMMENT);
+    }
+    Ok(milliseconds::to_timestamp(millis))
 }
 
 fn is_request_id(id: &str) -> bool {
--- a/crates/proxy/tests/parsers.rs
+++ b/crates/proxy/tests/parsers.rs
@@ -5,7 +5,7 @@
     self, Message, QuerySkipper, ResponseParser, ResponsePart, StatementKind, classify_statement,
     first_quoted_literal, parse_load_report, write,
 };
-use pooler_routing::LoadReportField;
+use pooler_routing::{GroupId, LoadReportField, TimeDelta};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -119,7 +119,8 @@
         let statement = format!("SELECT content FROM kv WHERE name = '{key}' /* id=9b, c=menu,d={timeout}, cluster=2 */");
         let Ok(StatementKind::Request(comment)) = classify_statement(&statement) else { panic!("{statement}") };
         prop_assert_eq!(&statement[comment.timeout_digits.clone()], timeout.to_string());
-        prop_assert_eq!((comment.class, comment.group, comment.last_write_ms), ("menu", 2, None));
+        prop_assert_eq!(comment.timeout, TimeDelta::from_millis(timeout.into()));
+        prop_assert_eq!((comment.class, comment.group, comment.last_write), ("menu", GroupId(2), None));
         prop_assert_eq!(first_quoted_literal(&statement), Some(key.as_str()));
     }
 }
