--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Model checking of the decisions themselves: the same [`Router`](pooler_routing::Router) that serves, stepped by
+//! Model checking of the decisions themselves: the same [`Router`] that serves, stepped by
 //! stateright through all orders in which a change of primary, responses, losses, a crash of a router and a drain can
 //! fall, within stated bounds.
 
