--- a/crates/pooler/src/registry_config.rs
+++ b/crates/pooler/src/registry_config.rs
@@ -12,7 +12,6 @@
 use pooler_service_registry::{RegistryConfig, SelfRegistration};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 
 /// The path of all applications.
 const ALL_APPS_PATH: &str = "/apps";
@@ -43,15 +42,15 @@
         credentials: credentials(settings),
         call_timeout: settings.call_timeout,
         polling: PollSettings {
-            interval: time_delta(settings.poll_interval),
-            max_backoff: time_delta(settings.max_backoff),
+            interval: TimeDelta::from(settings.poll_interval),
+            max_backoff: TimeDelta::from(settings.max_backoff),
             use_deltas: settings.fetch_mode == FetchMode::Delta,
         },
         max_body_bytes: settings.max_body_bytes,
         mapping: mapping(settings),
         self_preservation: SelfPreservation {
             max_missing_fraction: settings.max_missing_fraction,
-            accept_after: settings.accept_loss_after.map(time_delta),
+            accept_after: settings.accept_loss_after.map(TimeDelta::from),
         },
         snapshot_path: snapshot_path(settings),
         self_registration: pooler.and_then(|pooler| self_registration(settings, pooler)),
@@ -113,8 +112,8 @@
         app: registration.app.clone(),
         id: registration.id.clone().unwrap_or_else(default_id),
         address: pooler.address,
-        renewal_interval: time_delta(registration.renewal_interval),
-        lease_duration: time_delta(registration.lease_duration),
+        renewal_interval: TimeDelta::from(registration.renewal_interval),
+        lease_duration: TimeDelta::from(registration.lease_duration),
     })
 }
 
@@ -123,7 +122,3 @@
     let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "._:-".contains(letter);
     id.chars().take(MAX_ID_CHARS).map(|letter| if is_allowed(letter) { letter } else { '-' }).collect()
 }
-
-fn time_delta(duration: Duration) -> TimeDelta {
-    TimeDelta(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
-}
--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -8,7 +8,6 @@
 use crate::protocol::{HEADER_SIZE, RequestComment, first_quoted_literal};
 use crate::request::{AbortReason, ClientRequest, FinalResponse, serve};
 use crate::server::statement::{ClientStatement, QueryResponse};
-use crate::time_conversion::to_time_delta;
 use futures_lite::future::or;
 use pooler_routing::{ClassId, Consistency, EndpointId, Operation, SessionKey, TimeDelta, Timestamp};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -80,8 +79,8 @@
 /// When the client gives up. Its timeout counts from when it sent the request, which may have waited behind others.
 fn deadline(context: &ClientContext, timeout: TimeDelta, arrival_time: Option<Instant>) -> Timestamp {
     let waited = arrival_time.map_or(Duration::ZERO, |arrival| arrival.elapsed());
-    let timeout = timeout.min(to_time_delta(context.longest_deadline));
-    context.router.now() - to_time_delta(waited) + timeout
+    let timeout = timeout.min(TimeDelta::from(context.longest_deadline));
+    context.router.now() - TimeDelta::from(waited) + timeout
 }
 
 /// Routes a request and waits for its final response. It is abandoned when the client closes its connection or cancels
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,8 +1,7 @@
 //! The pooler's clock: Unix time in microseconds, read once at the start and carried on by the monotonic clock, so that
 //! it never runs backwards.
 
-use crate::time_conversion::{to_duration, to_time_delta};
-use pooler_routing::Timestamp;
+use pooler_routing::{TimeDelta, Timestamp};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// The Unix epoch on the router's time scale.
@@ -20,18 +19,18 @@
     #[must_use]
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started: Instant::now(), started_unix: EPOCH + to_time_delta(since_epoch) }
+        Self { started: Instant::now(), started_unix: EPOCH + TimeDelta::from(since_epoch) }
     }
 
     /// The current time, in microseconds since the Unix epoch.
     #[must_use]
     pub fn now(&self) -> Timestamp {
-        self.started_unix + to_time_delta(self.started.elapsed())
+        self.started_unix + TimeDelta::from(self.started.elapsed())
     }
 
     /// The instant of the monotonic clock at which this clock shows `timestamp`; its start for an earlier timestamp.
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
-        self.started + to_duration(timestamp - self.started_unix)
+        self.started + (timestamp - self.started_unix).to_duration()
     }
 }
--- a/crates/proxy/src/config/proxy_settings.rs
+++ b/crates/proxy/src/config/proxy_settings.rs
@@ -1,6 +1,5 @@
 //! The settings that concern the proxy rather than the router.
 
-use crate::time_conversion::to_duration;
 use pooler_routing::LoadReportField;
 use pooler_routing::settings::{SettingsError, SettingsMap, duration_from_millis};
 use std::time::Duration;
@@ -44,7 +43,7 @@
 }
 
 fn duration_or(map: &SettingsMap, key: &str, default_ms: f64) -> Result<Duration, SettingsError> {
-    Ok(to_duration(duration_from_millis(map.amount_or(key, default_ms)?)))
+    Ok(duration_from_millis(map.amount_or(key, default_ms)?).to_duration())
 }
 
 fn longest_deadline(map: &SettingsMap) -> Result<Duration, SettingsError> {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -21,7 +21,6 @@
 pub mod server;
 pub mod socket_budget;
 pub mod startup_retry;
-pub mod time_conversion;
 
 pub use assembly::StartError;
 pub use pooler::Pooler;
--- a/crates/proxy/src/request/serve.rs
+++ b/crates/proxy/src/request/serve.rs
@@ -4,7 +4,6 @@
 use super::client_request::{AbortReason, ClientRequest};
 use super::final_response::FinalResponse;
 use crate::router_handle::{RequestCommand, RequestHandle, RouterHandle};
-use crate::time_conversion::to_duration;
 use futures_lite::future::{or, poll_fn};
 use pooler_routing::{
     AttemptCompletion, AttemptNumber, AttemptOutcome, EndpointId, Event, Request, TimeDelta, Timestamp,
@@ -100,7 +99,7 @@
         let context = AttemptContext::new(&still_eligible);
         // The block drops the attempt, and its connection if it was given up, before the router is told.
         let event = {
-            let attempt = transport.attempt(&endpoint, query, to_duration(timeout), &context);
+            let attempt = transport.attempt(&endpoint, query, timeout.to_duration(), &context);
             wait_for_attempt(attempt, self.handle.next_command(), aborted, &context).await
         };
         let (result, interruption) = match event {
--- a/crates/routing/src/time.rs
+++ b/crates/routing/src/time.rs
@@ -1,6 +1,7 @@
 //! Timestamps and time differences with a resolution of one microsecond.
 
 use std::ops::{Add, Sub};
+use std::time::Duration;
 
 /// A moment on the host's monotonic clock, in microseconds since an epoch that the host chooses. It never
 /// goes backwards; only differences between timestamps carry meaning.
@@ -26,6 +27,12 @@
         Self(milliseconds.saturating_mul(1_000))
     }
 
+    /// The difference as a duration of the standard library; zero for a negative one.
+    #[must_use]
+    pub fn to_duration(self) -> Duration {
+        Duration::from_micros(u64::try_from(self.0).unwrap_or(0))
+    }
+
     /// The difference multiplied by `factor`, rounded towards zero. A factor that is not finite counts as
     /// zero.
     #[must_use]
@@ -35,6 +42,13 @@
     }
 }
 
+impl From<Duration> for TimeDelta {
+    /// The duration in whole microseconds, saturating at the limit of `i64`.
+    fn from(duration: Duration) -> Self {
+        Self(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
+    }
+}
+
 impl Add<TimeDelta> for Timestamp {
     type Output = Self;
     fn add(self, delta: TimeDelta) -> Self {
