--- a/Makefile
+++ b/Makefile
@@ -20,15 +20,15 @@
 ci:
 	bash .ci/run
 
-# The lab: stand-ins, scripts and proofs. None of it is part of CI.
+# The testbed: fake servers, scenarios and a model checker. None of it is part of CI.
 lab:
 	cargo build --locked --release -p pooler -p pooler-testbed
 
-# Plays all scripts of a registry that lags, lies and vanishes; the last line is one JSON object.
+# Plays all scenarios of a registry that lags, responds wrongly and vanishes; the last line is one JSON object.
 proof-eureka: lab
 	target/release/pooler-testbed eureka
 
-# Time and memory of a whole list and of a delta, at 200, 2,000 and 20,000 instances.
+# Time and memory of a snapshot and of a delta, at 200, 2,000 and 20,000 instances.
 bench-eureka: lab
 	target/release/pooler-testbed eureka-bench
 
@@ -36,6 +36,6 @@
 proof-primary: lab
 	target/release/pooler-testbed primary
 
-# A registry, boxes, a pooler and a client on loopback, to look at. Ends on Ctrl-C or after DEMO_S seconds.
+# A registry, fake servers, a pooler and a client on loopback, to look at. Ends on Ctrl-C or after DEMO_S seconds.
 demo: lab
 	target/release/pooler-testbed demo --seconds $(or $(DEMO_S),0)
