--- a/crates/service-registry/src/eureka/digest.rs
+++ b/crates/service-registry/src/eureka/digest.rs
@@ -53,18 +53,6 @@
         }
     }
 
-    /// How many instances there are.
-    #[must_use]
-    pub fn len(&self) -> usize {
-        self.statuses.len()
-    }
-
-    /// Whether there are none.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.statuses.is_empty()
-    }
-
     /// The hash code as Eureka computes it: the statuses in alphabetical order, each with its count.
     #[must_use]
     pub fn hash_code(&self) -> String {
