--- a/crates/routing/src/membership/claim.rs
+++ b/crates/routing/src/membership/claim.rs
@@ -1,6 +1,5 @@
 //! What a source claims about an endpoint, and which of two claims of one source is newer.
 
-use super::resolution::severity;
 use crate::{EndpointId, GroupId, Lifecycle, Timestamp};
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -141,3 +140,12 @@
         claim.address.zip(self.claim.address).is_some_and(|(new, held)| new != held)
     }
 }
+
+/// How much caution a lifecycle state asks for: the greater, the more.
+pub(super) fn severity(lifecycle: Lifecycle) -> u8 {
+    match lifecycle {
+        Lifecycle::Active => 0,
+        Lifecycle::Draining => 1,
+        Lifecycle::Removed => 2,
+    }
+}
--- a/crates/routing/src/membership/resolution.rs
+++ b/crates/routing/src/membership/resolution.rs
@@ -1,6 +1,6 @@
 //! Resolving one endpoint from the claims of all sources.
 
-use super::claim::{HeldClaim, SourceId};
+use super::claim::{HeldClaim, SourceId, severity};
 use crate::{EndpointEntry, EndpointId, GroupId, Lifecycle, Timestamp};
 use std::net::SocketAddr;
 
@@ -91,12 +91,3 @@
         })
     }
 }
-
-/// How much caution a lifecycle state asks for: the greater, the more.
-pub(super) fn severity(lifecycle: Lifecycle) -> u8 {
-    match lifecycle {
-        Lifecycle::Active => 0,
-        Lifecycle::Draining => 1,
-        Lifecycle::Removed => 2,
-    }
-}
