--- a/crates/proxy/src/client/cancellation.rs
+++ b/crates/proxy/src/client/cancellation.rs
@@ -36,8 +36,7 @@
 
 /// The upper and the lower half of a number.
 fn split_halves(number: u64) -> (u32, u32) {
-    let [a, b, c, d, e, f, g, h] = number.to_be_bytes();
-    (u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h]))
+    ((number >> u32::BITS) as u32, number as u32)
 }
 
 /// A session that can be cancelled by its key until this is dropped.
--- a/crates/routing/src/membership/self_preservation.rs
+++ b/crates/routing/src/membership/self_preservation.rs
@@ -13,11 +13,6 @@
     pub accept_after: Option<TimeDelta>,
 }
 
-impl SelfPreservation {
-    /// Believes every snapshot, as the platform's endpoint list asks for.
-    pub const DISABLED: Self = Self { max_missing_fraction: 2.0, accept_after: None };
-}
-
 /// A snapshot that was not believed, as it lacked too many active endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspectedLoss {
