--- a/crates/pooler/tests/registry.rs
+++ b/crates/pooler/tests/registry.rs
@@ -64,9 +64,11 @@
         self.reads_by_server(READS).get(server).copied().unwrap_or(0)
     }
 
-    /// How many servers received any of [`READS`] reads.
-    fn servers_in_use(&mut self) -> usize {
-        self.reads_by_server(READS).values().filter(|count| **count > 0).count()
+    /// Sends [`READS`] reads, and checks that at least three servers received some.
+    fn assert_three_servers_in_use(&mut self, situation: &str) {
+        let reads = self.reads_by_server(READS);
+        let in_use = reads.values().filter(|count| **count > 0).count();
+        assert!(in_use >= 3, "{situation}: {reads:?}");
     }
 
     /// Checks the rules that hold in all tests.
@@ -112,8 +114,7 @@
     for behavior in behaviors {
         test.perform(Action::SetBehavior(0, behavior.clone()));
         test.wait_until_applied(0);
-        let in_use = test.servers_in_use();
-        assert!(in_use >= 3, "{behavior:?}: {in_use} servers in use");
+        test.assert_three_servers_in_use(&format!("{behavior:?}"));
         test.perform(Action::SetBehavior(0, ReadBehavior::Normal));
         test.wait_until_applied(0);
     }
@@ -123,7 +124,7 @@
     for _ in 0..2 {
         test.perform(Action::ReregisterAll(0));
         test.wait_until_applied(0);
-        assert!(test.servers_in_use() >= 3);
+        test.assert_three_servers_in_use("instances return");
     }
     test.assert_rules_kept();
 }
