--- a/crates/service-registry/tests/bodies.rs
+++ b/crates/service-registry/tests/bodies.rs
@@ -139,6 +139,19 @@
         Err(BodyError::Syntax { offset, error }) => (offset, error),
         other => panic!("{text:?}: {other:?}"),
     };
+    let texts = [
+        (SyntaxError::NotJson, "no JSON"),
+        (SyntaxError::TrailingData, "something behind the end"),
+        (SyntaxError::UnmatchedBracket, "a bracket that closes nothing"),
+        (SyntaxError::NestedTooDeeply, "nested too deeply"),
+        (SyntaxError::NotXml, "no XML"),
+        (SyntaxError::MismatchedEndTag, "a tag that closes another"),
+        (SyntaxError::DocumentType, "a document type, which is not read"),
+        (SyntaxError::InstanceTooLong, "an instance that is too long"),
+    ];
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
+    }
     assert_eq!(syntax_error(BodyFormat::Json, "<html>"), (0, SyntaxError::NotJson));
     assert_eq!(syntax_error(BodyFormat::Json, "{\"a\":1}}"), (7, SyntaxError::TrailingData));
     assert_eq!(syntax_error(BodyFormat::Json, "{\"a\":1]"), (6, SyntaxError::UnmatchedBracket));
