--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -50,6 +50,13 @@
     assert_eq!(decode("").unwrap(), OperatorConfig::default(), "an empty file configures nothing");
 }
 
+#[test]
+fn files_of_the_former_package_name_stay_readable() {
+    let former = valid().replace("package pooler", "package linnetdeal");
+    assert_ne!(former, valid());
+    assert_eq!(decode(&former).unwrap(), decode(&valid()).unwrap());
+}
+
 #[test]
 fn each_error_is_reported_with_its_position() {
     let cases = [
