--- a/crates/routing/src/router/in_flight/tests.rs
+++ b/crates/routing/src/router/in_flight/tests.rs
@@ -1,27 +1,11 @@
 use super::{AttemptId, EndpointWork, InFlightAttempt};
-use crate::router::latency::LatencyEstimates;
-use crate::{
-    AttemptNumber, ClassId, Consistency, Idempotency, Operation, RequestClass, RequestId, TimeDelta,
-    Timestamp,
-};
+use crate::router::test_support::latency_of_one_class;
+use crate::{AttemptNumber, ClassId, RequestId, TimeDelta, Timestamp};
 
 const NOW: Timestamp = Timestamp(5_000_000);
-/// Longer than any attempt of the class takes before it is overdue.
+/// Longer than any attempt of the class takes before it is overdue, which is 600 ms.
 const LONG: TimeDelta = TimeDelta::from_millis(700);
 
-/// A mean of 100 ms and a mean deviation of 50 ms: an attempt is silent after 600 ms.
-fn latency() -> LatencyEstimates {
-    LatencyEstimates::new(&[RequestClass {
-        name: "read".to_owned(),
-        idempotency: Idempotency::Idempotent,
-        operation: Operation::Read(Consistency::Eventual),
-        latency_objective: TimeDelta::from_millis(400),
-        objective_stretch: 0.0,
-        priority_weight: 1.0,
-        late_weight: 0.0,
-    }])
-}
-
 fn id(request: u64) -> AttemptId {
     AttemptId { request: RequestId(request), number: AttemptNumber(0) }
 }
@@ -32,7 +16,7 @@
 
 #[test]
 fn an_endpoint_is_silent_while_an_overdue_attempt_is_its_latest_sign() {
-    let (latency, mut work) = (latency(), EndpointWork::default());
+    let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
     assert!(!work.is_silent(NOW + TimeDelta::from_millis(600), &latency));
     assert!(work.is_silent(NOW + LONG, &latency));
@@ -42,7 +26,7 @@
 
 #[test]
 fn a_lost_attempt_is_no_work() {
-    let (latency, mut work) = (latency(), EndpointWork::default());
+    let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
     assert_eq!(work.total(NOW, &latency), 1.0);
     assert_eq!(work.total(NOW + LONG, &latency), 0.0, "nothing came since it was sent");
@@ -54,8 +38,8 @@
 }
 
 #[test]
-fn an_abandoned_attempt_is_work_until_it_is_finished_by_the_usual_latency() {
-    let (latency, mut work) = (latency(), EndpointWork::default());
+fn an_abandoned_attempt_is_work_until_it_is_finished_by_the_usual_latency_of_one_class() {
+    let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
     assert!(work.finish(id(1)).is_some() && work.is_idle());
     work.record_abandoned(NOW, TimeDelta::from_millis(100));
@@ -65,7 +49,7 @@
 
 #[test]
 fn the_weight_of_an_attempt_grows_with_its_age_up_to_a_bound() {
-    let (latency, mut work) = (latency(), EndpointWork::default());
+    let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
     let weight = |ms| work.weighted(NOW + TimeDelta::from_millis(ms), &latency);
     assert_eq!([weight(0), weight(100), weight(250), weight(5_000)], [2.0, 2.0, 3.5, 5.0]);
--- a/crates/routing/src/router/latency/tests.rs
+++ b/crates/routing/src/router/latency/tests.rs
@@ -1,32 +1,19 @@
-use super::{LatencyEstimates, Slowness};
-use crate::{
-    ClassId, Consistency, Idempotency, Operation, RequestClass, TimeDelta, Timestamp, time::Microseconds,
-};
+use super::Slowness;
+use crate::router::test_support::latency_of_one_class;
+use crate::{ClassId, TimeDelta, Timestamp, time::Microseconds};
 
 const CLASS: ClassId = ClassId(0);
 
-fn estimates() -> LatencyEstimates {
-    LatencyEstimates::new(&[RequestClass {
-        name: "read".to_owned(),
-        idempotency: Idempotency::Idempotent,
-        operation: Operation::Read(Consistency::Eventual),
-        latency_objective: TimeDelta::from_millis(400),
-        objective_stretch: 0.0,
-        priority_weight: 1.0,
-        late_weight: 0.0,
-    }])
-}
-
 #[test]
 fn the_first_guess_comes_from_the_objective() {
-    let estimates = estimates();
+    let estimates = latency_of_one_class();
     assert_eq!(estimates.of(CLASS).mean(), Microseconds(100_000.0));
     assert_eq!(estimates.of(CLASS).quantile_bound(2.0), TimeDelta::from_millis(200));
 }
 
 #[test]
 fn estimates_follow_the_observed_latencies() {
-    let mut estimates = estimates();
+    let mut estimates = latency_of_one_class();
     for _ in 0..500 {
         estimates.observe(CLASS, TimeDelta::from_millis(20));
     }
@@ -38,7 +25,7 @@
 
 #[test]
 fn slowness_is_bounded_and_forgotten() {
-    let (estimates, mut slowness, now) = (estimates(), Slowness::default(), Timestamp(1_000_000));
+    let (estimates, mut slowness, now) = (latency_of_one_class(), Slowness::default(), Timestamp(1_000_000));
     for _ in 0..100 {
         slowness.observe(now, TimeDelta::from_millis(60_000), estimates.of(CLASS));
     }
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -47,6 +47,8 @@
 mod requests;
 mod retry_budget;
 mod slow_start;
+#[cfg(test)]
+mod test_support;
 mod timers;
 
 use crate::{Action, EndpointId, Event, Operation, RequestId, Role, Settings, Timestamp};
