--- a/crates/routing/src/router/attempt_completion.rs
+++ b/crates/routing/src/router/attempt_completion.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt means for its request.
+//! Handles completed attempts: retries, closes or gives up their requests.
 
 use super::Router;
 use super::endpoint_outcomes::CompletedAttempt;
@@ -7,7 +7,7 @@
 use crate::{Action, AttemptCompletion, AttemptOutcome, Operation, RequestId, ResponseMetadata, Timestamp};
 
 impl Router {
-    /// An attempt completed.
+    /// Records what a completed attempt shows about its endpoint, then closes or continues its request.
     pub(super) fn on_attempt_completed(
         &mut self,
         now: Timestamp,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// An endpoint that responded to another attempt meanwhile is not down: this connection was lost.
+    /// The outcome of an attempt, where a failure to connect counts as a lost connection if the endpoint
+    /// responded to another attempt since this one was sent: such an endpoint is not down.
     fn adjusted_outcome(&self, now: Timestamp, completion: &AttemptCompletion) -> AttemptOutcome {
         let sent_at = now - completion.elapsed;
         let endpoint = self.endpoints.get(&completion.endpoint);
@@ -62,8 +63,9 @@
         }
     }
 
-    /// A write that may have run is one of its session's: its response may have come when it was no longer
-    /// waited for.
+    /// Advances the session token for a write that may have run, even if its response came after its request
+    /// was closed. Unless the write succeeded and its response has a position, the present counts as its
+    /// commit.
     fn record_session_commit(
         &mut self,
         now: Timestamp,
@@ -80,14 +82,15 @@
         self.session_tokens.record_commit(session, commit);
     }
 
-    /// An endpoint that returns an error for what another one answers is at fault itself.
+    /// Records a failure of the first endpoint that returned an error for a request that another endpoint has
+    /// now answered, since the error was the endpoint's own.
     fn record_errors_answered_elsewhere(&mut self, now: Timestamp, id: RequestId, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get(id) else { return };
         if outcome != AttemptOutcome::Ok || request.is_at_fault() {
             return;
         }
-        let Some(erroring) = request.first_erroring_endpoint() else { return };
-        if let Some(endpoint) = self.endpoints.get_mut(erroring) {
+        let Some(erroring_endpoint) = request.first_erroring_endpoint() else { return };
+        if let Some(endpoint) = self.endpoints.get_mut(erroring_endpoint) {
             endpoint.failures.record_failure(now, Failure::ErrorAnsweredElsewhere);
         }
     }
@@ -100,13 +103,13 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.close_request(id, actions) else { return };
-        if outcome == AttemptOutcome::Ok && now <= request.objective_at() {
+        if outcome == AttemptOutcome::Ok && now <= request.objective_deadline() {
             let weight = self.settings.classes[request.class().0].priority_weight;
             self.demand.record_served(now, &request, weight);
         }
     }
 
-    /// Retries a request whose last attempt in flight has ended without a final response, or gives it up.
+    /// Retries or gives up a request once no attempt is in flight and it has no final response.
     fn continue_request(
         &mut self,
         now: Timestamp,
@@ -131,8 +134,8 @@
         self.route(now, id, actions);
     }
 
-    /// A write provably did not run. Unless it was not sent, or rejected for lack of capacity, that shows
-    /// that its endpoint is not a primary that is up.
+    /// Records that a write provably did not run. This shows that its endpoint is not a primary that is up,
+    /// except if the attempt was not sent completely or was rejected for lack of capacity.
     fn record_write_not_run(&mut self, now: Timestamp, id: RequestId, completed: &CompletedAttempt) {
         if matches!(
             completed.outcome,
--- a/crates/routing/src/router/attempt_plan.rs
+++ b/crates/routing/src/router/attempt_plan.rs
@@ -1,5 +1,5 @@
-//! Whether a request should still be dispatched, and how an attempt is sent. It reads the parts, and changes
-//! nothing.
+//! Decides whether a request should still be dispatched and how an attempt is sent. Everything here is
+//! read-only.
 
 use super::cluster_view::ClusterView;
 use super::endpoint::Endpoint;
@@ -7,58 +7,59 @@
 use super::requests::PendingRequest;
 use crate::{Idempotency, Operation, Role, TimeDelta, Timestamp};
 
-/// An attempt is retried or hedged no sooner than after this fraction of the objective: a short guess of the
-/// latency would double the work.
-const MIN_PATIENCE: f64 = 0.3;
-/// Mean deviations above the mean latency that a read must have left to be dispatched.
-const HOPELESS_DEVIATIONS: f64 = 3.0;
-/// The fraction of new reads to which the same applies under severe overload. If it applied to all, no
-/// response would show that the overload has passed.
-const CHECKED_NEW_FRACTION: f64 = 0.8;
+/// The shortest delay before a hedge or an early retry, as a fraction of the latency objective. Without it,
+/// too low a latency estimate would double the work.
+const MIN_SECOND_ATTEMPT_DELAY: f64 = 0.3;
+/// The time that a read must have left to be dispatched, in mean deviations above the mean latency.
+const RESPONSE_TIME_DEVIATIONS: f64 = 3.0;
+/// The probability that the same time is required of a new read under severe overload. If it were required of
+/// all, no response would show that the overload has ended.
+const NEW_READ_CHECK_PROBABILITY: f64 = 0.8;
 
-/// How an attempt is sent.
+/// The parameters with which an attempt is sent.
 pub(super) struct AttemptPlan {
-    /// The log position that the endpoint must have applied.
+    /// The log position that the endpoint must have applied; `None` if any will do.
     pub(super) required_position: Option<Timestamp>,
-    /// The slow-start tokens that the endpoint has before the attempt.
+    /// The slow-start tokens that this router has for the endpoint before the attempt.
     pub(super) slow_start_tokens: f64,
-    /// How long to wait for the response.
+    /// How long to wait for the response before the attempt times out.
     pub(super) timeout: TimeDelta,
-    /// When to look at the request, to hedge it or to end it.
+    /// When to check the request next: when its hedge is due, or at its deadline.
     pub(super) check_at: Timestamp,
 }
 
 impl ClusterView<'_> {
-    /// Whether a request that has no attempt in flight should be sent, or sent again.
+    /// Whether a request without an attempt in flight should be dispatched, either for the first time or as a
+    /// retry.
     pub(super) fn should_dispatch(&self, request: &PendingRequest, chance: f64) -> bool {
         let is_idempotent = self.class_of(request).idempotency == Idempotency::Idempotent;
         request.attempt_count() < self.settings.max_attempts
             && (is_idempotent || !request.may_have_run())
             && request.has_time_to_dispatch(self.now)
-            && !self.is_hopeless(request, chance)
+            && !self.should_drop_read(request, chance)
     }
 
-    /// Whether a read that waited, or that arrived under severe overload, has less time left than a response
-    /// takes. It would only keep others waiting.
-    fn is_hopeless(&self, request: &PendingRequest, chance: f64) -> bool {
+    /// Whether a read that was queued, or that arrived under severe overload, has less time left than a
+    /// response is likely to take, or was queued too long. Dispatching it would only delay other requests.
+    fn should_drop_read(&self, request: &PendingRequest, chance: f64) -> bool {
         let class = self.class_of(request);
         if class.operation == Operation::Write {
             return false;
         }
         let overload = self.overload_ratio(request.group(), Role::Replica);
-        let applies_to_new = overload > SEVERE_OVERLOAD && chance < CHECKED_NEW_FRACTION;
-        if !applies_to_new && self.now <= request.arrived_at() {
+        let checks_new_reads = overload > SEVERE_OVERLOAD && chance < NEW_READ_CHECK_PROBABILITY;
+        if !checks_new_reads && self.now <= request.arrived_at() {
             return false;
         }
-        let needed = self.latency.of(request.class()).quantile_bound(HOPELESS_DEVIATIONS);
+        let needed = self.latency.of(request.class()).quantile_bound(RESPONSE_TIME_DEVIATIONS);
         let counts_when_late = class.late_weight > 0.0;
-        let latest = if counts_when_late { request.deadline() } else { request.objective_at() };
+        let latest = if counts_when_late { request.deadline() } else { request.objective_deadline() };
         request.has_queued_too_long(self.now) || self.now + needed >= latest
     }
 
-    /// How to send an attempt. It is hedged, or timed out early and retried, if it may be repeated and a
-    /// second attempt can still meet the objective, and only while its group is not overloaded, since second
-    /// attempts add to the load.
+    /// Plans an attempt. The attempt is hedged, or times out early to be retried, only if the request is
+    /// idempotent, a second attempt can still meet the objective, and the group is not overloaded, since
+    /// second attempts add to the load.
     pub(super) fn plan_attempt(
         &self,
         request: &PendingRequest,
@@ -67,21 +68,21 @@
     ) -> AttemptPlan {
         let class = self.class_of(request);
         let latency = self.latency.of(request.class());
-        let min_patience = class.latency_objective.mul_f64(MIN_PATIENCE);
-        let patience = latency.overdue_after().max(min_patience);
-        let is_repeatable = class.idempotency == Idempotency::Idempotent
-            && self.now + patience + latency.typical() < request.objective_at()
+        let min_second_attempt_delay = class.latency_objective.mul_f64(MIN_SECOND_ATTEMPT_DELAY);
+        let second_attempt_delay = latency.overdue_after().max(min_second_attempt_delay);
+        let allows_second_attempt = class.idempotency == Idempotency::Idempotent
+            && self.now + second_attempt_delay + latency.typical() < request.objective_deadline()
             && self.overload_ratio(endpoint.group(), endpoint.role()) < SHEDDING_START;
-        let is_hedged = is_repeatable && self.settings.hedging_allowed;
-        let is_retried = is_repeatable && !is_hedged && has_retry_token;
-        // Otherwise it is not timed out at the objective: its work would go on, its connection would be lost,
-        // and its client would ask once more.
+        let hedges = allows_second_attempt && self.settings.hedging_allowed;
+        let retries_early = allows_second_attempt && !hedges && has_retry_token;
+        // Otherwise the attempt may take until the deadline. A timeout at the objective would not stop the
+        // endpoint's work, would cost the connection, and would make the client send the request again.
         let time_left = request.deadline() - self.now;
         AttemptPlan {
             required_position: self.required_position(request),
             slow_start_tokens: self.slow_start_tokens(endpoint),
-            timeout: if is_retried { patience.min(time_left) } else { time_left },
-            check_at: if is_hedged { self.now + patience } else { request.deadline() },
+            timeout: if retries_early { second_attempt_delay.min(time_left) } else { time_left },
+            check_at: if hedges { self.now + second_attempt_delay } else { request.deadline() },
         }
     }
 }
--- a/crates/routing/src/router/demand.rs
+++ b/crates/routing/src/router/demand.rs
@@ -1,20 +1,20 @@
-//! The demand: the priority weight of recent requests, by class and by tenant.
+//! Tracks demand, the priority weight of recent requests, by class and by tenant.
 
 use super::decaying::DecayingRatio;
 use super::overload::OVERLOAD_MEMORY;
 use super::requests::PendingRequest;
 use crate::{ClassId, Settings, TenantId, TimeDelta, Timestamp};
 
-/// How long requests count for the demand.
+/// The time in which the contribution of a request to the demand decays by a factor of e.
 const DEMAND_MEMORY: TimeDelta = TimeDelta::from_millis(7_000);
-/// How long they count for the fraction that is served.
+/// The time in which the contribution of a request to the served fraction decays by a factor of e.
 const SERVED_FRACTION_MEMORY: TimeDelta = OVERLOAD_MEMORY;
-/// The fraction that is served of a class without requests.
+/// The served fraction of a class without recent requests.
 const IDLE_SERVED_FRACTION: f64 = 1.0;
-/// A class whose served fraction is this close to the lowest counts as the worst served too.
+/// A class whose served fraction exceeds the lowest one by no more than this also counts as worst served.
 const WORST_SERVED_TOLERANCE: f64 = 0.02;
 
-/// The priority weight of recent requests: of all, and of those served within their objective.
+/// The priority weight of all recent requests, and of those served within their objective.
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
     by_class: Vec<DecayingRatio>,
@@ -22,7 +22,7 @@
 }
 
 impl Demand {
-    /// No requests yet.
+    /// Creates the state without any requests.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             by_class: vec![DecayingRatio::default(); settings.classes.len()],
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Records the arrival of a request.
+    /// Records the arrival of a request with the priority weight of its class.
     pub(super) fn record_arrival(&mut self, now: Timestamp, request: &PendingRequest, weight: f64) {
         self.add(now, request, 0.0, weight);
     }
 
-    /// Records that a request was served within its objective.
+    /// Records that a request was served within its objective, with the priority weight of its class.
     pub(super) fn record_served(&mut self, now: Timestamp, request: &PendingRequest, weight: f64) {
         self.add(now, request, weight, 0.0);
     }
@@ -47,17 +47,15 @@
         }
     }
 
-    /// The demand of a class.
     pub(super) fn of_class(&self, now: Timestamp, class: ClassId) -> f64 {
         self.by_class[class.0].total(now, DEMAND_MEMORY)
     }
 
-    /// The demand of a tenant that the settings list.
+    /// The demand of a tenant, which must be listed in the settings.
     pub(super) fn of_tenant(&self, now: Timestamp, tenant: TenantId) -> f64 {
         self.by_tenant[tenant.0].total(now, DEMAND_MEMORY)
     }
 
-    /// The demand of all classes.
     pub(super) fn of_all_classes(&self, now: Timestamp) -> f64 {
         self.by_class.iter().map(|class| class.total(now, DEMAND_MEMORY)).sum()
     }
@@ -66,7 +64,8 @@
         self.by_class[class.0].estimate(now, SERVED_FRACTION_MEMORY, IDLE_SERVED_FRACTION)
     }
 
-    /// Whether the fraction served within the objective is lowest, or nearly so, for this class.
+    /// Whether the fraction of this class's demand that is served within the objective is the lowest of all
+    /// classes, or within [`WORST_SERVED_TOLERANCE`] of it.
     pub(super) fn is_worst_served(&self, now: Timestamp, class: ClassId) -> bool {
         let fractions = (0..self.by_class.len()).map(|index| self.served_fraction(now, ClassId(index)));
         let lowest = fractions.fold(f64::MAX, f64::min);
--- a/crates/routing/src/router/dispatch.rs
+++ b/crates/routing/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatching requests: a request is sent to an endpoint, queued, or given up.
+//! Dispatches requests: each is sent to an endpoint, queued, or given up.
 
 use super::Router;
 use super::freshness::carried_session_token;
@@ -7,7 +7,7 @@
 use crate::{Action, EndpointId, GroupId, Operation, Request, RequestId, SessionTokenSource, Timestamp};
 
 impl Router {
-    /// A request arrived.
+    /// Accepts a new request and routes it. A request of an unknown class fails at once.
     pub(super) fn on_request(&mut self, now: Timestamp, request: &Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(request.class.0) else {
             actions.push(Action::Fail { request: request.id });
@@ -29,7 +29,8 @@
         self.route(now, request.id, actions);
     }
 
-    /// Sends a request to an endpoint, queues it, or gives it up.
+    /// Sends a request to an endpoint, queues it if no endpoint can take it, or gives it up. Load shedding
+    /// applies only to new requests.
     pub(super) fn route(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let chance = self.random.unit_interval();
         let Some(request) = self.requests.get(id) else { return };
@@ -65,7 +66,7 @@
     fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         self.endpoints.group_or_insert(request.group()).queue.insert(request);
-        self.queue_schedule.retry_at_sweep(request.group());
+        self.queue_schedule.schedule_at_sweep(request.group());
     }
 
     fn dispatch(&mut self, now: Timestamp, id: RequestId, endpoint: EndpointId, actions: &mut Vec<Action>) {
@@ -74,7 +75,7 @@
         self.send_attempt(now, id, endpoint, actions);
     }
 
-    /// Sends an attempt to an endpoint.
+    /// Starts an attempt at an endpoint and schedules the next check of the request.
     pub(super) fn send_attempt(
         &mut self,
         now: Timestamp,
@@ -100,10 +101,10 @@
         actions.push(Action::Send { request: id, endpoint: endpoint_id, timeout: plan.timeout });
     }
 
-    /// Tries the queued requests of all groups of which something new is known, highest priority density
-    /// first.
+    /// Routes the queued requests of the groups whose queues are due, highest priority density first within a
+    /// group.
     pub(super) fn dispatch_queued(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        for group in self.queue_schedule.take_groups_to_retry() {
+        for group in self.queue_schedule.take_due_groups() {
             for id in self.queued_by_priority(now, group) {
                 self.route(now, id, actions);
             }
@@ -115,7 +116,7 @@
         let view = self.view(now);
         let density = |id| self.requests.get(id).map_or(0.0, |request| view.priority_density(request));
         let mut queued: Vec<RequestId> = group.queue.requests().collect();
-        // Densities are not negative, so that their bits are in the order of their values.
+        // The bit patterns of non-negative floats order like their values.
         queued.sort_by_cached_key(|id| std::cmp::Reverse(density(*id).to_bits()));
         queued
     }
--- a/crates/routing/src/router/endpoint_selection.rs
+++ b/crates/routing/src/router/endpoint_selection.rs
@@ -1,11 +1,12 @@
-//! Selecting the endpoint of a request, with the health checks that this calls for.
+//! Selects the endpoint for a request and sends the health checks that the selection requires.
 
 use super::Router;
 use super::load_balancing::ReadRandomness;
 use crate::{Action, Consistency, EndpointId, Operation, RequestId, StaleReadPolicy, TimeDelta, Timestamp};
 
 impl Router {
-    /// Selects the endpoint for a read, and sends the health checks that it calls for.
+    /// Selects the endpoint for a read and sends the health checks of the selection. If no endpoint can take
+    /// the read and no primary is confirmed, the search for the primary continues.
     pub(super) fn select_for_read(
         &mut self,
         now: Timestamp,
@@ -30,9 +31,9 @@
         selection.endpoint
     }
 
-    /// Whether the age of data can be determined for this request. A router that has just started knows the
-    /// present by its own clock alone; it gives a listed primary, which it health-checks anyway, a moment to
-    /// confirm it.
+    /// Whether the clock is reliable enough to determine the age of data for a request. A router that has
+    /// just started knows the fleet's time from its own clock alone. If there is a listed primary, which is
+    /// health-checked in any case, the router waits a moment for it to confirm the clock.
     fn trusts_clock(&mut self, now: Timestamp, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else { return true };
         let view = self.view(now);
@@ -46,8 +47,8 @@
         !view.has_listed_primary(request.group()) || self.clock.has_awaited_confirmation(now)
     }
 
-    /// Selects the believed primary, unless it may be the wrong one. Then the write waits until a
-    /// primary is confirmed.
+    /// Selects the believed primary if it has room. While no primary is confirmed, and the primary is unknown
+    /// or the believed one seems to be down, the write waits and the search for the primary continues.
     pub(super) fn select_for_write(
         &mut self,
         now: Timestamp,
@@ -57,12 +58,12 @@
         let request = self.requests.get(id)?;
         let group_id = request.group();
         let selection = self.view(now).select_for_write(request)?;
-        let believed = &mut self.endpoints.group_mut(group_id)?.primary;
-        believed.believe(selection.primary.clone());
+        let group_primary = &mut self.endpoints.group_mut(group_id)?.primary;
+        group_primary.believe(selection.primary.clone());
         if selection.has_exhausted_candidates {
-            believed.mark_unknown();
+            group_primary.mark_unknown();
         }
-        let is_unknown = believed.is_unknown();
+        let is_unknown = group_primary.is_unknown();
         let view = self.view(now);
         let primary = self.endpoints.get(&selection.primary)?;
         if !selection.is_confirmed && (is_unknown || view.is_suspect(primary)) {
--- a/crates/routing/src/router/final_response.rs
+++ b/crates/routing/src/router/final_response.rs
@@ -1,14 +1,15 @@
-//! Final responses: requests are given up, and closed.
+//! Gives up requests with a final response, and removes closed requests.
 
 use super::Router;
 use super::requests::PendingRequest;
 use crate::{Action, Idempotency, RequestId, TimeDelta, Timestamp};
 
-/// The shortest retry-after; an immediate retry would add to an overload.
+/// The shortest retry-after. An immediate retry would add to an overload.
 const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
 
 impl Router {
-    /// Gives a request its final response at once: a rejection where a retry does no harm.
+    /// Gives a request its final response: a rejection if the client may safely retry, otherwise a failure. A
+    /// request that is not idempotent is rejected only if it never ran and has time left to be dispatched.
     pub(super) fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let is_idempotent = self.view(now).class_of(request).idempotency == Idempotency::Idempotent;
@@ -21,12 +22,15 @@
         self.close_request(id, actions);
     }
 
+    /// The retry-after of a rejection, where the settings allow one: the mean latency of the request's class,
+    /// within bounds.
     fn retry_after(&self, request: &PendingRequest) -> Option<TimeDelta> {
         let delay = self.latency.of(request.class()).typical().max(MIN_RETRY_AFTER);
         self.settings.retry_after_allowed.then(|| delay.min(self.settings.max_retry_after))
     }
 
-    /// Removes a request that has its final response, or needs none, and cancels its attempts in flight.
+    /// Removes a request that has a final response, or needs none, and cancels its attempts in flight where
+    /// the settings allow cancellation.
     pub(super) fn close_request(
         &mut self,
         id: RequestId,
@@ -40,7 +44,7 @@
         Some(request)
     }
 
-    /// Removes a request, and leaves its attempts in flight.
+    /// Removes a request without cancelling its attempts in flight.
     pub(super) fn release_request(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.requests.remove(id)?;
         if let Some(group) = self.endpoints.group_mut(request.group()) {
--- a/crates/routing/src/router/load_balancing.rs
+++ b/crates/routing/src/router/load_balancing.rs
@@ -1,8 +1,8 @@
-//! Where a request goes. It reads the parts, and changes nothing.
+//! Selects the endpoint for a request. Everything here is read-only.
 //!
-//! The read mechanism is Wu and Kemme's: a read goes to a random replica whose data is current enough; if the
-//! load of that one is over a threshold, to the first below it of the next [`FORWARD_STEPS`]. A write goes to
-//! the believed primary.
+//! Reads follow the algorithm of Wu and Kemme: a random replica is picked among those whose data is current
+//! enough. If its load exceeds a threshold, the first of the next [`FORWARD_STEPS`] replicas whose load does
+//! not is used instead, if there is one. A write goes to the believed primary.
 
 use super::cluster_view::ClusterView;
 use super::endpoint::Endpoint;
@@ -13,82 +13,83 @@
 use super::retry_budget::HealthCheckBudget;
 use crate::{Consistency, EndpointId, GroupId, Operation, Role, StaleReadPolicy, TimeDelta, Timestamp};
 
-/// An endpoint is passed over if its load exceeds this multiple of the mean.
+/// A replica is passed over if its load exceeds this multiple of the candidates' mean load.
 const LOAD_THRESHOLD: f64 = 1.2;
-/// How many endpoints after the first pick are considered.
+/// The number of replicas after the first pick that are considered in its place.
 const FORWARD_STEPS: usize = 2;
-/// The share of the primary's concurrency limit that reads may fill which replicas could serve.
+/// The share of the primary's concurrency limit up to which it takes reads that replicas could serve.
 const PRIMARY_READ_SHARE: f64 = 0.5;
-/// The same where endpoints reject stale reads and all replicas lag.
+/// The same share as [`PRIMARY_READ_SHARE`], where endpoints reject stale reads and all replicas lag.
 const PRIMARY_READ_SHARE_WHILE_LAGGING: f64 = 0.8;
-/// How much lower the overload ratio of the primary must be than that of the replicas for reads to spill over
-/// to it.
+/// By how much the replicas' overload ratio must exceed the primary's before reads spill over to the primary.
 const SPILL_OVER_MARGIN: f64 = 0.2;
-/// How long a router that knows nothing of a group waits for the listed primary to respond to its health
-/// check before it checks all endpoints.
+/// How long a router without evidence about a group waits for the listed primary to respond to a health
+/// check before it health-checks all endpoints of the group.
 pub(super) const LISTED_PRIMARY_TIMEOUT: TimeDelta = TimeDelta::from_millis(250);
 
-/// The random numbers of one read.
+/// The random draws for one read, made before the selection so that the selection itself is pure.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReadRandomness {
-    /// Picks the first replica.
+    /// Determines the first replica considered: its index is this number modulo the number of replicas.
     pub(super) index_seed: usize,
-    /// Decides by chance, from 0 to 1.
+    /// A uniform draw between 0 and 1, for decisions made with a probability.
     pub(super) chance: f64,
 }
 
-/// Where a read goes.
+/// The result of selecting an endpoint for a read.
 #[derive(Clone, Debug)]
 pub(super) struct ReadSelection {
-    /// The endpoint, if any can take it now.
+    /// The endpoint to send the read to; `None` if no endpoint can take the read now.
     pub(super) endpoint: Option<EndpointId>,
-    /// The endpoint that was picked first and passed over, because it is slow or fails.
+    /// The idle replica that was picked first and passed over, since it is slow or fails.
     pub(super) passed_over: Option<EndpointId>,
-    /// Replicas to health-check for their positions.
+    /// Replicas to health-check to learn their log positions.
     pub(super) health_checks: Vec<EndpointId>,
 }
 
-/// Where a write goes.
+/// The result of selecting an endpoint for a write.
 #[derive(Clone, Debug)]
 pub(super) struct WriteSelection {
-    /// The endpoint to believe to be the primary.
+    /// The endpoint that becomes or remains the believed primary.
     pub(super) primary: EndpointId,
-    /// The latest evidence confirms that it is the primary.
+    /// Whether the latest evidence confirms the primary role of the believed primary of the group.
     pub(super) is_confirmed: bool,
-    /// So many attempts of the write failed to find the primary that it should wait until one is confirmed.
+    /// Whether so many attempts of the write failed to reach a primary that the write should wait until one
+    /// is confirmed.
     pub(super) has_exhausted_candidates: bool,
 }
 
-/// How little a replica is preferred: one that was tried or seems to be down serves only where no other is
-/// left.
+/// Ranks replicas; a lower penalty is preferred. A replica that the request has tried, or that seems to be
+/// down, is used only if no other replica is left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Penalty {
     was_tried: bool,
     is_suspect: bool,
 }
 
-/// The replica that a read goes to.
+/// The replica picked for a read.
 struct Pick<'a> {
     endpoint: &'a Endpoint,
-    /// The first random pick, if it was passed over while it had nothing else to do.
+    /// The first random pick, if it was passed over while it had no other work.
     passed_over: Option<&'a Endpoint>,
 }
 
 impl<'a> Pick<'a> {
-    /// No replica was passed over.
-    fn first(endpoint: &'a Endpoint) -> Self {
+    /// A pick for which no idle replica was passed over.
+    fn new(endpoint: &'a Endpoint) -> Self {
         Self { endpoint, passed_over: None }
     }
 }
 
-/// One read, and the endpoints that it may go to.
+/// A read and the endpoints that it may be sent to.
 struct ReadCandidates<'a> {
     view: ClusterView<'a>,
     request: &'a PendingRequest,
     randomness: ReadRandomness,
     required_position: Option<Timestamp>,
-    /// The read needs the primary.
+    /// Whether only the primary may serve the read, which has strong consistency.
     primary_only: bool,
+    /// The confirmed primary; for a strong read without one, the believed primary if it may be probed.
     primary: Option<&'a Endpoint>,
     replicas: Vec<&'a Endpoint>,
 }
@@ -117,8 +118,8 @@
         Self { view, request, randomness, required_position, primary_only, primary, replicas }
     }
 
-    /// The replicas whose data is current enough, and of those only the most preferred ones. Tried replicas
-    /// and suspects are left out while there is a primary.
+    /// The replicas with the lowest penalty among those whose data is current enough. If there is a primary,
+    /// replicas with any penalty are excluded.
     fn current_replicas(&self) -> Vec<&'a Endpoint> {
         let is_current = |replica: &&Endpoint| self.view.may_serve(replica, self.required_position);
         let mut current: Vec<_> = self.replicas.iter().copied().filter(is_current).collect();
@@ -132,9 +133,9 @@
         Penalty { was_tried: self.request.has_tried(replica.id()), is_suspect: self.view.is_suspect(replica) }
     }
 
-    /// Where endpoints serve stale data, the replicas to health-check because their position is unknown or
-    /// too old for the read: while the budget is ample all, else one at a time while none is known to be
-    /// current enough.
+    /// Replicas to health-check because their position is unknown or too old for the read, where endpoints
+    /// serve stale data. These are all such replicas while the budget is ample; otherwise one at a time, and
+    /// only while no replica is known to be current enough.
     fn health_checks(&self, has_current_replica: bool, budget: &HealthCheckBudget) -> Vec<EndpointId> {
         let Some(required) = self.required_position else { return Vec::new() };
         let count = self.replicas.len();
@@ -148,23 +149,24 @@
             !self.view.is_suspect(replica)
                 && replica.freshness.is_check_due(now, required, checked_at, interval)
         };
-        let most = if budget.is_ample() { count } else { usize::from(!has_current_replica) };
+        let max_checks = if budget.is_ample() { count } else { usize::from(!has_current_replica) };
         let rotated = (0..count).map(|step| self.replicas[(self.randomness.index_seed + step) % count]);
-        let due = rotated.filter(is_due).take(most.min(budget.available()));
+        let due = rotated.filter(is_due).take(max_checks.min(budget.available()));
         due.map(|replica| replica.id().clone()).collect()
     }
 
-    /// Whether the replicas are so much more overloaded than the primary that the read goes to the primary.
-    fn spills_over(&self) -> bool {
+    /// Whether the read goes to the primary because the replicas are more overloaded. The probability is the
+    /// amount by which the difference of their overload ratios exceeds [`SPILL_OVER_MARGIN`].
+    fn should_spill_over(&self) -> bool {
         let ratio = |role| self.view.overload_ratio(self.request.group(), role);
         let excess = ratio(Role::Replica) - ratio(Role::Primary) - SPILL_OVER_MARGIN;
         self.primary.is_some() && self.randomness.chance < excess
     }
 
-    /// The primary, if it has room for a read that may fill this share of its concurrency limit.
-    fn primary_within_share(&self, share: f64) -> Option<&'a Endpoint> {
-        // Of a share of few attempts, the fraction of one is given by chance, or the reads of many routers,
-        // each of which has less than one attempt, would never get any.
+    /// The primary, if it has room for a read within this share of its concurrency limit.
+    fn primary_within_read_share(&self, share: f64) -> Option<&'a Endpoint> {
+        // The fractional part of a small share is granted with that probability. Otherwise, in a fleet of
+        // many routers whose share is less than one attempt each, no read would ever reach the primary.
         let is_within = |primary: &&Endpoint| {
             let work = self.view.work_of(primary) + self.randomness.chance;
             primary.concurrency.is_within_share(work, share)
@@ -176,9 +178,9 @@
         self.primary.filter(|primary| self.view.has_room(primary))
     }
 
-    /// The share of the primary's concurrency limit that the read may fill. Writes have no other endpoint to
-    /// go to: reads do not add to an overload there.
-    fn primary_share(&self, is_lagging: bool) -> f64 {
+    /// The share of the primary's concurrency limit that the read may fill. It is 0 while the primary is
+    /// severely overloaded, since writes can go nowhere else.
+    fn primary_read_share(&self, is_lagging: bool) -> f64 {
         if self.view.overload_ratio(self.request.group(), Role::Primary) > SEVERE_OVERLOAD {
             0.0
         } else if is_lagging {
@@ -188,29 +190,29 @@
         }
     }
 
-    /// A random replica, or one of the next ones if its load is over the threshold, unless it is to show
-    /// whether it has recovered.
+    /// Picks a random replica. If its load exceeds the threshold, the first of the next replicas whose load
+    /// does not is picked instead, if there is one, unless a trial read of the random replica is due.
     fn pick(&self, replicas: &[&'a Endpoint]) -> Pick<'a> {
         let loads: Vec<f64> = replicas.iter().map(|replica| self.view.load_of(replica)).collect();
         let threshold = LOAD_THRESHOLD * loads.iter().sum::<f64>() / loads.len() as f64;
         let count = replicas.len();
-        let first = self.randomness.index_seed;
-        let mut considered = (0..=FORWARD_STEPS.min(count - 1)).map(|step| (first + step) % count);
-        let below = considered.find(|index| loads[*index] <= threshold);
-        let first = replicas[first % count];
-        let Some(chosen) = below.map(|index| replicas[index]) else { return Pick::first(first) };
-        if chosen.id() == first.id() || !self.may_be_tried(first) {
-            Pick::first(chosen)
+        let start = self.randomness.index_seed;
+        let mut candidates = (0..=FORWARD_STEPS.min(count - 1)).map(|step| (start + step) % count);
+        let chosen = candidates.find(|index| loads[*index] <= threshold);
+        let first = replicas[start % count];
+        let Some(chosen) = chosen.map(|index| replicas[index]) else { return Pick::new(first) };
+        if chosen.id() == first.id() || !self.may_take_trial_read(first) {
+            Pick::new(chosen)
         } else if first.read_trials.is_due() {
-            Pick::first(first)
+            Pick::new(first)
         } else {
             Pick { endpoint: chosen, passed_over: Some(first) }
         }
     }
 
-    /// Whether a replica that is over the threshold may take the read to show whether it has recovered: it
-    /// has nothing else to do, and the read has been sent nowhere yet.
-    fn may_be_tried(&self, replica: &Endpoint) -> bool {
+    /// Whether a replica whose load exceeds the threshold may take the read as a trial that shows whether the
+    /// replica has recovered: the replica has no other work, and this would be the read's first attempt.
+    fn may_take_trial_read(&self, replica: &Endpoint) -> bool {
         self.request.attempt_count() == 0 && self.view.work_of(replica) == 0.0
     }
 
@@ -222,8 +224,8 @@
         let health_checks = self.health_checks(!replicas.is_empty(), budget);
         let mut passed_over = None;
         let endpoint = if replicas.is_empty() && !self.primary_only {
-            self.primary_within_share(self.primary_share(is_lagging))
-        } else if replicas.is_empty() || self.spills_over() {
+            self.primary_within_read_share(self.primary_read_share(is_lagging))
+        } else if replicas.is_empty() || self.should_spill_over() {
             self.primary_with_room()
         } else {
             let pick = self.pick(&replicas);
@@ -236,8 +238,8 @@
 }
 
 impl<'a> ClusterView<'a> {
-    /// Where a read goes; `None` if its group is unknown. If the clock is not trusted, no replica is known to
-    /// be current enough.
+    /// Selects the endpoint for a read; `None` if its group is unknown. Unless `trusts_clock`, no replica is
+    /// considered current enough.
     pub(super) fn select_for_read(
         &self,
         request: &PendingRequest,
@@ -249,17 +251,18 @@
         Some(ReadCandidates::new(*self, request, group, randomness).select(trusts_clock, budget))
     }
 
-    /// Where a write goes; `None` if its group has no endpoint that may be sent anything. A router that knows
-    /// no primary begins with the listed one, else with the lowest identifier.
+    /// Selects the endpoint for a write; `None` if no endpoint of its group accepts new work. Without a
+    /// believed primary that accepts new work, the listed primary is selected, or else the next endpoint by
+    /// identifier after the believed primary, beginning with the lowest if there is none.
     pub(super) fn select_for_write(&self, request: &PendingRequest) -> Option<WriteSelection> {
         let group_id = request.group();
         let group = self.endpoints.group(group_id)?;
         let usable = || self.endpoints.in_group(group).filter(|endpoint| self.accepts_new_work(endpoint));
         let believed = self.endpoints.believed_primary(group_id);
-        let kept = believed.filter(|endpoint| self.accepts_new_work(endpoint));
-        let listed = || usable().find(|endpoint| endpoint.is_listed_primary());
-        let next = || self.next_candidate(group_id, believed.map(Endpoint::id));
-        let primary = kept.or_else(listed).or_else(next)?.id().clone();
+        let current_primary = believed.filter(|endpoint| self.accepts_new_work(endpoint));
+        let listed_primary = || usable().find(|endpoint| endpoint.is_listed_primary());
+        let next_endpoint = || self.next_candidate(group_id, believed.map(Endpoint::id));
+        let primary = current_primary.or_else(listed_primary).or_else(next_endpoint)?.id().clone();
         let max_failed = (usable().count() as u32).min(self.settings.max_attempts / 2).max(1);
         let is_confirmed = self.confirmed_primary(group_id).is_some();
         Some(WriteSelection {
@@ -269,7 +272,8 @@
         })
     }
 
-    /// The next endpoint of a group after `previous`, in the order of identifiers, that may be sent anything.
+    /// The next endpoint after `previous` in the order of identifiers, wrapping around, among those of the
+    /// group that accept new work.
     pub(super) fn next_candidate(
         &self,
         group: GroupId,
@@ -283,15 +287,15 @@
         after.or_else(|| usable.next())
     }
 
-    /// Whether a group has a listed primary that may be sent anything.
+    /// Whether a group has a listed primary that accepts new work.
     pub(super) fn has_listed_primary(&self, group: GroupId) -> bool {
         let Some(group) = self.endpoints.group(group) else { return false };
         let mut endpoints = self.endpoints.in_group(group);
         endpoints.any(|endpoint| endpoint.is_listed_primary() && self.accepts_new_work(endpoint))
     }
 
-    /// The listed primary of a group, while nothing else is known of it and it may still respond to its first
-    /// health check.
+    /// The listed primary of a group, as long as there is no evidence of its role and it may still respond to
+    /// its first health check.
     pub(super) fn unconfirmed_listed_primary(&self, group: &'a Group) -> Option<&'a Endpoint> {
         let is_unconfirmed = |endpoint: &&Endpoint| {
             let checked_at = endpoint.health_checked_at();
--- a/crates/routing/src/router/load_report.rs
+++ b/crates/routing/src/router/load_report.rs
@@ -1,18 +1,20 @@
-//! Decoding of load reports.
+//! Decodes load reports of endpoints.
 
 use crate::{LoadReportField, Role, Settings, TimeDelta, Timestamp};
 
-/// The values of a load report that decisions use.
+/// The values of a load report that routing decisions use. Other values are ignored.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadReport {
-    /// The log position up to which the endpoint has applied.
+    /// The position up to which the endpoint has applied the log; `None` if the report has no such value.
     pub(super) position: Option<Timestamp>,
-    /// The role of the endpoint.
+    /// The role that the endpoint reports; `None` if the report has no such value.
     pub(super) role: Option<Role>,
 }
 
 impl LoadReport {
-    /// Reads the values that are there and finite, in the order of [`Settings::load_report_fields`].
+    /// Decodes `values`, listed in the order of [`Settings::load_report_fields`]. Values that are missing or
+    /// not finite become `None`. A position is in seconds since [`Settings::position_epoch`]; a role
+    /// of 0.5 or more is a primary.
     pub(super) fn decode(settings: &Settings, values: &[f64]) -> Self {
         let value = |field| {
             let index = settings.load_report_fields.iter().position(|listed| *listed == field)?;
--- a/crates/routing/src/router/load_shedding.rs
+++ b/crates/routing/src/router/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: which requests are rejected under overload, and in which order queued requests are
-//! dispatched.
+//! Load shedding: decides which new requests are rejected under overload, by a priority density that also
+//! orders the dispatch of queued requests.
 
 use super::cluster_view::ClusterView;
 use super::overload::{SHEDDING_COMPLETE, SHEDDING_START};
@@ -7,8 +7,9 @@
 use crate::{ClassId, Consistency, Operation, Role};
 
 impl ClusterView<'_> {
-    /// Whether a new request is one too many for the endpoints of this role in its group. The load beyond
-    /// [`SHEDDING_START`] is shed at random, more of the requests whose priority density is lower than usual.
+    /// Whether a new request is shed because the endpoints of this role in its group are overloaded. Shedding
+    /// starts at an overload ratio of [`SHEDDING_START`] and is random; requests whose priority density is
+    /// below the average of the competing classes are shed with a higher probability.
     pub(super) fn should_shed(&self, request: &PendingRequest, role: Role, chance: f64) -> bool {
         let overload = self.overload_ratio(request.group(), role);
         let excess = (overload - SHEDDING_START) / (SHEDDING_COMPLETE - SHEDDING_START);
@@ -24,6 +25,8 @@
         chance * self.priority_density(request) * total_work < excess * total_weight
     }
 
+    /// Whether only the primary serves the requests of a class. Classes compete only with classes for which
+    /// this is the same.
     fn is_primary_only(&self, class: ClassId) -> bool {
         matches!(
             self.settings.classes[class.0].operation,
@@ -31,8 +34,8 @@
         )
     }
 
-    /// The priority weight of a request per microsecond of work. Requests beyond their tenant's part of the
-    /// quotas count less.
+    /// The priority weight of a request per microsecond of work. It is reduced for a tenant whose demand
+    /// exceeds its share of all quotas.
     pub(super) fn priority_density(&self, request: &PendingRequest) -> f64 {
         let density = self.class_priority_density(request.class());
         let tenants = &self.settings.tenants;
@@ -46,8 +49,8 @@
         density * (within_quota + (1.0 - within_quota) * self.settings.over_quota_weight)
     }
 
-    /// The priority density of a class. The class that is served worst counts for more, as the operators
-    /// weigh it, or a surge of the others would starve it.
+    /// The priority density of a class. It is raised for the worst-served class, by the operators' objective
+    /// weights, since a surge of the other classes would otherwise starve that class.
     fn class_priority_density(&self, class: ClassId) -> f64 {
         let weights = &self.settings.objective_weights;
         let demand = self.demand.of_class(self.now, class);
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -1,19 +1,20 @@
-//! The router: it receives an event, asks its parts, and emits actions.
+//! The router's state machine: it handles one event at a time and emits the actions that follow from it.
 //!
-//! Each part keeps one concern, in a type with private fields:
+//! Its state is split by concern into components, each a type with private fields:
 //!
-//! - `endpoint`, `endpoints`: the endpoints, their lifecycle and groups, which hold the parts that are kept
-//!   by endpoint and by group.
-//! - `fleet_clock`, `freshness`, `primary`: the fleet's time, how current data is, and which endpoint is
-//!   the primary.
+//! - `endpoint`, `endpoints`: the endpoints and groups, the lifecycle of each endpoint, and the components
+//!   that are kept per endpoint or per group.
+//! - `fleet_clock`, `freshness`, `primary`: the fleet's clock, the freshness of data, and the primary of each
+//!   group.
 //! - `in_flight`, `latency`, `outlier_detection`, `read_trials`, `concurrency`, `slow_start`: the state of an
-//!   endpoint, and what it may be sent.
-//! - `overload`, `demand`, `retry_budget`: the fleet's capacity and the demand for it.
-//! - `requests`, `queue`, `timers`: the requests, and when each must be looked at.
+//!   endpoint that decides how much it may be sent.
+//! - `overload`, `demand`, `retry_budget`: the overload ratios, the demand, and the budgets of retries and
+//!   health checks.
+//! - `requests`, `queue`, `timers`: the pending and queued requests, and when each request is next checked.
 //!
-//! `cluster_view`, `load_balancing`, `load_shedding` and `attempt_plan` combine parts to answer questions,
-//! and change nothing. The modules that implement methods of [`Router`] handle events: only they change
-//! parts, by the parts' methods.
+//! `cluster_view`, `load_balancing`, `load_shedding` and `attempt_plan` make decisions from several
+//! components and are read-only. Only the modules that implement methods of [`Router`] modify components,
+//! through the methods of the components.
 
 mod attempt_completion;
 mod attempt_plan;
@@ -68,14 +69,14 @@
 use slow_start::Throughput;
 use timers::Timers;
 
-/// The decisions of one router.
+/// A deterministic state machine that routes requests. It performs no I/O and reads no clock.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: Settings,
     random: RandomSource,
     clock: FleetClock,
     endpoints: Endpoints,
-    /// A first endpoint list was received; later updates are changes of it.
+    /// Whether the first endpoint list was received. Only starts listed by later updates are recent.
     has_endpoint_list: bool,
     requests: PendingRequests,
     queue_schedule: QueueSchedule,
@@ -91,7 +92,7 @@
 }
 
 impl Router {
-    /// A router that knows nothing but its settings.
+    /// Creates a router without endpoints. The same `seed`, settings and events give the same actions.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
         Self {
@@ -114,11 +115,12 @@
         }
     }
 
-    /// Handles an event that happened at `now`, and appends the actions that follow from it.
+    /// Handles an event that occurred at `now` and appends the resulting actions, in the order in which the
+    /// host carries them out.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.timers.on_event(now);
         self.handle_event(now, event, actions);
-        self.process_due(now, actions);
+        self.process_due_checks(now, actions);
         self.dispatch_queued(now, actions);
         if let Some(line) = self.log.take(now) {
             actions.push(Action::Log { line });
@@ -130,19 +132,20 @@
         }
     }
 
-    /// Whether an attempt that waited for its connection may still be sent: data grows old meanwhile.
+    /// Whether an attempt that waited for a connection may still be sent. During the wait, the data of the
+    /// endpoint may have become too old for the request.
     #[must_use]
     pub fn still_eligible(&self, now: Timestamp, id: RequestId, endpoint: &EndpointId) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let Some(endpoint) = self.endpoints.get(endpoint) else { return false };
         let view = self.view(now);
-        let needs_no_check =
+        let needs_no_freshness_check =
             view.operation_of(request) == Operation::Write || endpoint.role() == Role::Primary;
         endpoint.group() == request.group()
-            && (needs_no_check || view.may_serve(endpoint, view.required_position(request)))
+            && (needs_no_freshness_check || view.may_serve(endpoint, view.required_position(request)))
     }
 
-    /// Whether an endpoint may be sent anything new, as the endpoint list has it by now.
+    /// Whether the current endpoint list permits new attempts to an endpoint; `false` for an unknown one.
     #[must_use]
     pub fn accepts_new_work(&self, endpoint: &EndpointId) -> bool {
         let endpoint = self.endpoints.get(endpoint);
@@ -163,7 +166,7 @@
         }
     }
 
-    /// The parts, to read, as of `now`.
+    /// A read-only view of the components at `now`.
     fn view(&self, now: Timestamp) -> ClusterView<'_> {
         ClusterView {
             now,
--- a/crates/routing/src/router/queue.rs
+++ b/crates/routing/src/router/queue.rs
@@ -1,10 +1,11 @@
-//! Requests that wait until an endpoint can take them, by group, and the groups whose queues are to be tried
-//! again.
+//! Queues of requests that wait until an endpoint of their group can take them, and the schedule by which
+//! queues are dispatched again.
 
 use super::requests::PendingRequest;
 use crate::{GroupId, RequestId, Timestamp};
 use std::collections::BTreeSet;
 
+/// An entry of a queue, ordered by arrival and then by identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedRequest {
     arrived_at: Timestamp,
@@ -17,7 +18,7 @@
     }
 }
 
-/// The queue of a group, in the order of arrival.
+/// The queued requests of a group, in the order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestQueue {
     queued: BTreeSet<QueuedRequest>,
@@ -34,47 +35,46 @@
         self.queued.remove(&request.into());
     }
 
-    /// Whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
 
-    /// The queued requests, in the order of arrival.
+    /// The identifiers of the queued requests, in the order of arrival.
     pub(super) fn requests(&self) -> impl Iterator<Item = RequestId> {
         self.queued.iter().map(|queued| queued.id)
     }
 }
 
-/// Which groups' queues are to be tried, now and with the next sweep.
+/// The groups whose queues are dispatched with the current event and with the next sweep.
 #[derive(Clone, Debug, Default)]
 pub(super) struct QueueSchedule {
-    groups_with_queue: BTreeSet<GroupId>,
-    groups_to_retry: BTreeSet<GroupId>,
+    groups_for_next_sweep: BTreeSet<GroupId>,
+    due_groups: BTreeSet<GroupId>,
 }
 
 impl QueueSchedule {
-    /// Something new is known of a group: its queue is tried with this event.
+    /// Schedules a group's queue for the current event, which brought news of the group.
     pub(super) fn retry(&mut self, group: GroupId) {
-        self.groups_to_retry.insert(group);
+        self.due_groups.insert(group);
     }
 
-    /// A request of a group is queued: the queue is tried with the next sweep.
-    pub(super) fn retry_at_sweep(&mut self, group: GroupId) {
-        self.groups_with_queue.insert(group);
+    /// Schedules a group's queue for the next sweep, after a request was queued.
+    pub(super) fn schedule_at_sweep(&mut self, group: GroupId) {
+        self.groups_for_next_sweep.insert(group);
     }
 
-    /// A sweep begins: all groups that wait for it are tried.
+    /// Starts a sweep: all groups scheduled for it become due.
     pub(super) fn start_sweep(&mut self) {
-        self.groups_to_retry.append(&mut self.groups_with_queue);
+        self.due_groups.append(&mut self.groups_for_next_sweep);
     }
 
-    /// The groups whose queues are tried now.
-    pub(super) fn take_groups_to_retry(&mut self) -> BTreeSet<GroupId> {
-        std::mem::take(&mut self.groups_to_retry)
+    /// Removes and returns the groups whose queues are due now.
+    pub(super) fn take_due_groups(&mut self) -> BTreeSet<GroupId> {
+        std::mem::take(&mut self.due_groups)
     }
 
-    /// Whether the next sweep has queues to try.
+    /// Whether any queue is scheduled for the next sweep.
     pub(super) fn needs_sweep(&self) -> bool {
-        !self.groups_with_queue.is_empty()
+        !self.groups_for_next_sweep.is_empty()
     }
 }
--- a/crates/routing/src/router/requests.rs
+++ b/crates/routing/src/router/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are owed a final response, and when each must be looked at.
+//! The pending requests, which have no final response yet, and the schedule of their next checks.
 
 #[cfg(test)]
 mod tests;
@@ -9,15 +9,15 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request with less time left than this is not dispatched any more.
+/// A request with no more time left than this is not dispatched.
 const MIN_TIME_TO_DISPATCH: TimeDelta = TimeDelta::from_millis(10);
-/// The fraction of its time that a read waits for its first dispatch. Rejected later, its client would have
-/// no time to retry elsewhere.
+/// The longest wait of a read for its first dispatch, as a fraction of the time between its arrival and its
+/// deadline. After a later rejection, the client would have no time to retry elsewhere.
 const MAX_QUEUE_TIME: f64 = 0.4;
-/// A request for which this many endpoints returned errors is at fault itself.
-const MAX_ERRORS: usize = 2;
+/// The number of attempts with errors from which the request itself is taken to be at fault.
+const ERRORS_TO_BLAME_REQUEST: usize = 2;
 
-/// An attempt, as its request sees it.
+/// The state of an attempt that its request keeps. The attempt's number is its index in the request.
 #[derive(Clone, Debug)]
 struct Attempt {
     endpoint: EndpointId,
@@ -25,7 +25,7 @@
     returned_error: bool,
 }
 
-/// A request that is owed its final response.
+/// A request without a final response, and its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     id: RequestId,
@@ -35,27 +35,28 @@
     session: Option<SessionKey>,
     session_token: Option<Timestamp>,
     arrived_at: Timestamp,
-    /// Until when a response counts with the full priority weight.
-    objective_at: Timestamp,
+    /// The time until which a response counts with the full priority weight; never after `deadline`.
+    objective_deadline: Timestamp,
     deadline: Timestamp,
     attempts: Vec<Attempt>,
-    /// Some attempt may have run.
+    /// Whether any attempt may have run.
     may_have_run: bool,
-    /// Attempts that proved that their endpoint is not a primary that is up.
+    /// The number of attempts that proved that their endpoint is not a primary that is up.
     failed_primaries: u32,
-    /// When it is to be looked at: its deadline, or when its attempt is overdue.
+    /// When the request is checked next: at its deadline, or when its hedge is due.
     next_check_at: Timestamp,
 }
 
 impl PendingRequest {
-    /// A request that has just arrived; a read of its session must see all up to `session_token`.
+    /// Creates a request that has just arrived. A read with read-your-writes consistency must see all commits
+    /// up to `session_token`.
     pub(super) fn new(
         now: Timestamp,
         request: &Request,
         class: &RequestClass,
         session_token: Option<Timestamp>,
     ) -> Self {
-        let stretch =
+        let extension =
             request.expected_work.map_or(TimeDelta::ZERO, |work| work.mul_f64(class.objective_stretch));
         let deadline = now + request.time_remaining;
         Self {
@@ -66,7 +67,7 @@
             session: request.session,
             session_token,
             arrived_at: now,
-            objective_at: (now + class.latency_objective + stretch).min(deadline),
+            objective_deadline: (now + class.latency_objective + extension).min(deadline),
             deadline,
             attempts: Vec::new(),
             may_have_run: false,
@@ -75,104 +76,97 @@
         }
     }
 
-    /// Its identifier.
     pub(super) fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Its class.
     pub(super) fn class(&self) -> ClassId {
         self.class
     }
 
-    /// Its tenant.
     pub(super) fn tenant(&self) -> Option<TenantId> {
         self.tenant
     }
 
-    /// The group that holds its data.
+    /// The replication group that holds the data of the request.
     pub(super) fn group(&self) -> GroupId {
         self.group
     }
 
-    /// Its session.
     pub(super) fn session(&self) -> Option<SessionKey> {
         self.session
     }
 
-    /// The last commit of its session.
+    /// The position of the last known commit of the request's session.
     pub(super) fn session_token(&self) -> Option<Timestamp> {
         self.session_token
     }
 
-    /// When it arrived.
     pub(super) fn arrived_at(&self) -> Timestamp {
         self.arrived_at
     }
 
-    /// Until when a response counts with the full priority weight.
-    pub(super) fn objective_at(&self) -> Timestamp {
-        self.objective_at
+    /// The time until which a response counts with the full priority weight.
+    pub(super) fn objective_deadline(&self) -> Timestamp {
+        self.objective_deadline
     }
 
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub(super) fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// Whether it has just arrived.
+    /// Whether the request arrived with the current event and has no attempts yet.
     pub(super) fn is_new(&self, now: Timestamp) -> bool {
         self.attempts.is_empty() && now == self.arrived_at
     }
 
-    /// Whether it waited so long for its first dispatch that its client should rather retry elsewhere.
+    /// Whether the request waited so long for its first dispatch that its client should retry elsewhere.
     pub(super) fn has_queued_too_long(&self, now: Timestamp) -> bool {
         let max_wait = (self.deadline - self.arrived_at).mul_f64(MAX_QUEUE_TIME);
         self.attempts.is_empty() && now - self.arrived_at > max_wait
     }
 
-    /// Whether there is still time to dispatch it.
+    /// Whether enough time is left before the deadline to dispatch the request.
     pub(super) fn has_time_to_dispatch(&self, now: Timestamp) -> bool {
         now + MIN_TIME_TO_DISPATCH < self.deadline
     }
 
-    /// Whether some attempt may have run.
+    /// Whether any completed attempt may have run.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// The number of attempts that were sent.
+    /// The number of attempts sent, including those in flight.
     pub(super) fn attempt_count(&self) -> u32 {
         self.attempts.len() as u32
     }
 
-    /// The number of attempts in flight.
     pub(super) fn in_flight_count(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.is_in_flight).count()
     }
 
-    /// Whether any attempt is in flight.
     pub(super) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 
-    /// The attempts in flight.
+    /// The numbers of the attempts in flight, in ascending order.
     pub(super) fn in_flight_attempts(&self) -> impl Iterator<Item = AttemptNumber> {
         let in_flight = self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight);
         in_flight.map(|(index, _)| AttemptNumber(index as u32))
     }
 
-    /// Whether an attempt was sent to this endpoint.
+    /// Whether any attempt was sent to this endpoint, whatever its outcome.
     pub(super) fn has_tried(&self, endpoint: &EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == *endpoint)
     }
 
-    /// Whether so many endpoints returned errors that the request itself is at fault.
+    /// Whether so many attempts returned errors that the request itself is taken to be at fault.
     pub(super) fn is_at_fault(&self) -> bool {
-        self.attempts.iter().filter(|attempt| attempt.returned_error).count() >= MAX_ERRORS
+        self.attempts.iter().filter(|attempt| attempt.returned_error).count() >= ERRORS_TO_BLAME_REQUEST
     }
 
-    /// The first endpoint that returned an error.
+    /// The endpoint of the first attempt, in the order of sending, that returned an error.
     pub(super) fn first_erroring_endpoint(&self) -> Option<&EndpointId> {
         self.attempts.iter().find(|attempt| attempt.returned_error).map(|attempt| &attempt.endpoint)
     }
@@ -182,19 +176,19 @@
         self.failed_primaries
     }
 
-    /// An attempt proved that its endpoint is not a primary that is up.
+    /// Records that an attempt proved that its endpoint is not a primary that is up.
     pub(super) fn record_failed_primary(&mut self) {
         self.failed_primaries += 1;
     }
 
-    /// An attempt is sent.
+    /// Adds an attempt in flight and returns its number.
     pub(super) fn start_attempt(&mut self, endpoint: EndpointId) -> AttemptNumber {
         let number = AttemptNumber(self.attempt_count());
         self.attempts.push(Attempt { endpoint, is_in_flight: true, returned_error: false });
         number
     }
 
-    /// An attempt ended.
+    /// Records the outcome of an attempt, which is then no longer in flight.
     pub(super) fn complete_attempt(&mut self, number: AttemptNumber, outcome: AttemptOutcome) {
         if let Some(attempt) = self.attempts.get_mut(number.0 as usize) {
             attempt.is_in_flight = false;
@@ -204,14 +198,14 @@
     }
 }
 
-/// When a request is to be looked at.
+/// An entry of the check schedule, ordered by time and then by request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledCheck {
     at: Timestamp,
     request: RequestId,
 }
 
-/// All requests that are owed their final response.
+/// All pending requests. Each has exactly one scheduled check, at its `next_check_at`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -219,30 +213,30 @@
 }
 
 impl PendingRequests {
-    /// Adds a request, to be looked at when its deadline passes.
+    /// Adds a request and schedules its first check.
     pub(super) fn insert(&mut self, request: PendingRequest) {
         self.checks.insert(ScheduledCheck { at: request.next_check_at, request: request.id });
         self.requests.insert(request.id, request);
     }
 
-    /// A request.
+    /// A pending request; `None` once it was removed.
     pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A request, to record its attempts.
+    /// A pending request, to record its attempts.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Removes a request that has received its final response.
+    /// Removes a request and its scheduled check.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.requests.remove(&id)?;
         self.checks.remove(&ScheduledCheck { at: request.next_check_at, request: id });
         Some(request)
     }
 
-    /// Sets when a request is to be looked at.
+    /// Replaces the scheduled check of a request.
     pub(super) fn schedule_check(&mut self, id: RequestId, at: Timestamp) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         self.checks.remove(&ScheduledCheck { at: request.next_check_at, request: id });
@@ -250,19 +244,19 @@
         request.next_check_at = at;
     }
 
-    /// Has a request looked at when its deadline passes.
+    /// Replaces the scheduled check of a request by one at its deadline.
     pub(super) fn schedule_check_at_deadline(&mut self, id: RequestId) {
         if let Some(deadline) = self.get(id).map(PendingRequest::deadline) {
             self.schedule_check(id, deadline);
         }
     }
 
-    /// When the first request is to be looked at.
+    /// The time of the earliest scheduled check.
     pub(super) fn next_check_at(&self) -> Option<Timestamp> {
         self.checks.first().map(|check| check.at)
     }
 
-    /// The first request that is to be looked at by now.
+    /// The request with the earliest scheduled check, if that is due.
     pub(super) fn first_due(&self, now: Timestamp) -> Option<RequestId> {
         self.checks.first().filter(|check| check.at <= now).map(|check| check.request)
     }
--- a/crates/routing/src/router/requests/tests.rs
+++ b/crates/routing/src/router/requests/tests.rs
@@ -15,7 +15,7 @@
     EndpointId(Arc::from(name))
 }
 
-/// A request with 1000 ms left, an objective of 400 ms, and 50 ms of expected work that extend it by 100 ms.
+/// A request with 1000 ms left and an objective of 400 ms, extended by 100 ms for 50 ms of expected work.
 fn pending(id: u64) -> PendingRequest {
     let class = RequestClass {
         name: "read".to_owned(),
@@ -41,12 +41,12 @@
 
 #[test]
 fn expected_work_extends_the_objective() {
-    assert_eq!(pending(1).objective_at(), NOW + ms(500));
+    assert_eq!(pending(1).objective_deadline(), NOW + ms(500));
     assert_eq!(pending(1).deadline(), NOW + ms(1_000));
 }
 
 #[test]
-fn a_request_queues_for_a_fraction_of_its_time_until_its_first_attempt() {
+fn the_queueing_limit_applies_only_before_the_first_attempt() {
     let mut request = pending(1);
     assert!(!request.has_queued_too_long(NOW + ms(400)));
     assert!(request.has_queued_too_long(NOW + ms(401)));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn attempts_are_numbered_in_order_and_remembered_by_endpoint() {
+fn attempts_are_numbered_in_order_and_recorded_by_endpoint() {
     let mut request = pending(1);
     assert_eq!(request.start_attempt(endpoint("a")), AttemptNumber(0));
     assert_eq!(request.start_attempt(endpoint("b")), AttemptNumber(1));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_request_for_which_two_endpoints_return_errors_is_at_fault() {
+fn a_request_for_which_two_attempts_return_errors_is_at_fault() {
     let mut request = pending(1);
     for name in ["a", "b"] {
         assert!(!request.is_at_fault());
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn requests_are_due_in_the_order_of_their_checks() {
+fn requests_are_due_in_the_order_of_their_scheduled_checks() {
     let mut requests = PendingRequests::default();
     requests.insert(pending(1));
     requests.insert(pending(2));
--- a/crates/routing/src/router/test_support.rs
+++ b/crates/routing/src/router/test_support.rs
@@ -1,9 +1,10 @@
-//! What the tests of several parts share.
+//! Fixtures shared by the unit tests of several components.
 
 use super::latency::LatencyEstimates;
 use crate::{Consistency, Idempotency, Operation, RequestClass, TimeDelta};
 
-/// The estimates of one class of reads, before any response: a mean of 100 ms and a mean deviation of 50 ms.
+/// Latency estimates of one class of reads before any response: a mean of 100 ms and a mean deviation of
+/// 50 ms.
 pub(super) fn latency_of_one_class() -> LatencyEstimates {
     LatencyEstimates::new(&[RequestClass {
         name: "read".to_owned(),
--- a/crates/routing/src/router/timers.rs
+++ b/crates/routing/src/router/timers.rs
@@ -1,29 +1,31 @@
-//! When the router has something to do without an event: its timer, its sweeps, and polls of the endpoint
-//! list.
+//! The router's timer, and the schedules of sweeps and of polls of the endpoint list.
 
 #[cfg(test)]
 mod tests;
 
 use crate::{Discovery, TimeDelta, Timestamp};
 
-/// How often queued requests are dispatched again.
+/// The shortest interval between two sweeps, which dispatch queued requests again.
 pub(super) const SWEEP_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A timer that fires this late shows that the router itself stalled, rather than the endpoints.
+/// A timer that fires later than this shows that the router itself stalled, not the endpoints.
 const STALL_THRESHOLD: TimeDelta = TimeDelta::from_millis(60);
-/// When a failed poll of the endpoint list is repeated.
+/// The delay after which a failed poll of the endpoint list is repeated.
 const POLL_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(1_000);
 
-/// The router's timer, and what it is for.
+/// The state of the router's timer and schedules.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timers {
+    /// When the timer fires, if it is set.
     timer_at: Option<Timestamp>,
     swept_at: Timestamp,
+    /// The end of the last stall.
     stalled_at: Timestamp,
+    /// `None` if no poll is scheduled.
     next_poll_at: Option<Timestamp>,
 }
 
 impl Timers {
-    /// No timer is set. If the endpoint list is polled, that is due.
+    /// Creates the state with no timer set. If discovery polls the endpoint list, the first poll is due.
     pub(super) fn new(discovery: Discovery) -> Self {
         Self {
             timer_at: None,
@@ -33,7 +35,8 @@
         }
     }
 
-    /// An event happened: the timer may have fired, or may be late.
+    /// Updates the timer at an event of any kind: a timer whose time has come is no longer set, and one that
+    /// is too late shows a stall of the router.
     pub(super) fn on_event(&mut self, now: Timestamp) {
         if self.timer_at.is_some_and(|at| now - at > STALL_THRESHOLD) {
             self.stalled_at = now;
@@ -41,13 +44,13 @@
         self.timer_at = self.timer_at.filter(|at| now < *at);
     }
 
-    /// Whether the router itself stalled until just now, so that what became overdue meanwhile proves
-    /// nothing.
+    /// Whether the router itself stalled until `now`. What became overdue during the stall proves nothing
+    /// about endpoints.
     pub(super) fn has_stalled(&self, now: Timestamp) -> bool {
         self.stalled_at == now
     }
 
-    /// Whether a sweep is due; it counts as done then.
+    /// Returns whether a sweep is due, and if so records it as started.
     pub(super) fn start_sweep(&mut self, now: Timestamp) -> bool {
         let is_due = now - self.swept_at >= SWEEP_INTERVAL;
         if is_due {
@@ -56,18 +59,19 @@
         is_due
     }
 
-    /// Whether the endpoint list is to be polled; it counts as done then.
+    /// Returns whether a poll of the endpoint list is due, and if so removes it from the schedule.
     pub(super) fn start_poll(&mut self, now: Timestamp) -> bool {
         self.next_poll_at.take_if(|at| now >= *at).is_some()
     }
 
-    /// A poll failed.
+    /// Schedules another poll after a failed one.
     pub(super) fn retry_poll(&mut self, now: Timestamp) {
         self.next_poll_at = Some(now + POLL_RETRY_DELAY);
     }
 
-    /// The time to set the timer to, unless it is set to no later time: for the next check of a request, for
-    /// a poll of the endpoint list, and if requests are queued for the next sweep.
+    /// Returns the time to set the timer to, or `None` if it is already set to that time or an earlier one.
+    /// The timer covers the next check of a request, the next poll of the endpoint list and, if requests are
+    /// queued, the next sweep.
     pub(super) fn reschedule(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/router/timers/tests.rs
+++ b/crates/routing/src/router/timers/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_timer_is_set_again_only_for_something_sooner() {
+fn the_timer_is_set_again_only_for_an_earlier_time() {
     let mut timers = Timers::new(Discovery::Push);
     assert_eq!(timers.reschedule(NOW, None, false), None);
     assert_eq!(timers.reschedule(NOW, Some(NOW + ms(100)), false), Some(NOW + ms(100)));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_timer_that_fires_late_shows_a_stall_of_the_router() {
+fn a_timer_that_fires_late_indicates_a_stall_of_the_router() {
     let mut timers = Timers::new(Discovery::Push);
     timers.reschedule(NOW, Some(NOW + ms(10)), false);
     timers.on_event(NOW + ms(70));
@@ -27,11 +27,11 @@
     timers.reschedule(NOW + ms(70), Some(NOW + ms(80)), false);
     timers.on_event(NOW + ms(141));
     assert!(timers.has_stalled(NOW + ms(141)));
-    assert!(!timers.has_stalled(NOW + ms(142)), "only what happens at that moment is excused");
+    assert!(!timers.has_stalled(NOW + ms(142)), "only events at the same time are excused");
 }
 
 #[test]
-fn sweeps_keep_their_interval() {
+fn sweeps_are_at_least_one_interval_apart() {
     let mut timers = Timers::new(Discovery::Push);
     assert!(timers.start_sweep(NOW));
     assert!(!timers.start_sweep(NOW + ms(9)));
@@ -45,5 +45,5 @@
     timers.retry_poll(NOW);
     assert!(!timers.start_poll(NOW + ms(999)));
     assert!(timers.start_poll(NOW + ms(1_000)));
-    assert!(!Timers::new(Discovery::Push).start_poll(NOW), "a list that is pushed is not polled");
+    assert!(!Timers::new(Discovery::Push).start_poll(NOW), "a pushed endpoint list is not polled");
 }
--- a/crates/routing/tests/router/main.rs
+++ b/crates/routing/tests/router/main.rs
@@ -1,4 +1,4 @@
-//! The router through its public interface: one file for each concern.
+//! Tests of the router through its public interface, one module for each concern.
 
 mod concurrency;
 mod draining;
--- a/crates/routing/tests/router/properties.rs
+++ b/crates/routing/tests/router/properties.rs
@@ -1,4 +1,5 @@
-//! Arbitrary orders of events, with a fixed seed: the rules that the actions alone must keep.
+//! Property tests: for arbitrary sequences of events, generated from a fixed seed, the actions of the router
+//! must keep a set of invariants.
 
 use crate::support::*;
 use proptest::prelude::{Strategy, TestCaseError, any, prop_oneof};
@@ -11,9 +12,10 @@
 const ENDPOINTS: usize = 6;
 const MAX_ATTEMPTS: usize = 5;
 const START: Timestamp = Timestamp(50_000_000);
-/// A final answer may come so long after the deadline.
-const ANSWER_AFTER_DEADLINE: TimeDelta = TimeDelta::from_millis(100);
-/// Each case ends with so many steps of time alone, by which every request must have its answer.
+/// How long after its deadline a request may get its final response at the latest.
+const FINAL_RESPONSE_GRACE: TimeDelta = TimeDelta::from_millis(100);
+/// The number of steps at the end of each case in which only time passes. After them, every request must have
+/// a final response.
 const IDLE_STEPS: usize = 400;
 
 const OUTCOMES: [AttemptOutcome; 9] = [
@@ -30,13 +32,14 @@
 const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Active, Lifecycle::Draining, Lifecycle::Removed];
 const ROLES: [Option<Role>; 3] = [None, Some(Role::Primary), Some(Role::Replica)];
 
-/// What happens next. Numbers pick from what there is then.
+/// A generated step. Each `pick` selects an item by its index modulo the number of items that exist at that
+/// step.
 #[derive(Clone, Debug)]
 enum Step {
     Request { class: usize, group: i64, time_left_ms: i64 },
     CompleteAttempt { pick: usize, outcome: usize, role: usize, offset_ms: i64 },
     UpdateEndpoint { endpoint: usize, lifecycle: usize, restarted: bool, primary: bool },
-    ReplaceEndpoints { kept: usize },
+    ReplaceEndpoints { listed_count: usize },
     CompleteHealthCheck { endpoint: usize, position: f64, role: f64 },
     Abandon { pick: usize },
     Advance { ms: i64 },
@@ -54,7 +57,7 @@
                 Step::UpdateEndpoint { endpoint, lifecycle, restarted, primary }
             }
         ),
-        1 => (0..ENDPOINTS + 1).prop_map(|kept| Step::ReplaceEndpoints { kept }),
+        1 => (0..ENDPOINTS + 1).prop_map(|listed_count| Step::ReplaceEndpoints { listed_count }),
         1 => (0..ENDPOINTS, any::<f64>(), any::<f64>())
             .prop_map(|(endpoint, position, role)| Step::CompleteHealthCheck { endpoint, position, role }),
         1 => any::<usize>().prop_map(|pick| Step::Abandon { pick }),
@@ -63,7 +66,7 @@
     proptest::collection::vec(step, 1..160)
 }
 
-/// The endpoints of these tests count from 0 and are spread over two groups.
+/// The group of an endpoint. Endpoints are numbered from 0 here and alternate between two groups.
 fn group_of(endpoint: usize) -> GroupId {
     GroupId((endpoint % 2) as i64)
 }
@@ -72,10 +75,10 @@
     EndpointEntry { group: group_of(endpoint), ..endpoint_entry(endpoint) }
 }
 
-/// An attempt that the router sent.
+/// An attempt that the router sent, and its outcome.
 struct Attempt {
     endpoint: EndpointId,
-    /// `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     outcome: Option<AttemptOutcome>,
 }
 
@@ -85,29 +88,29 @@
     }
 }
 
-/// A request as its client and the servers saw it.
+/// A request with all attempts that the router has sent for it.
 struct RequestHistory {
     class: usize,
     group: GroupId,
     deadline: Timestamp,
-    /// It has its final answer, or its client has left.
+    /// Whether the request has its final response or was abandoned by its client.
     is_done: bool,
     attempts: Vec<Attempt>,
 }
 
-/// A router, and the history of all its requests.
-struct RuleChecker {
+/// A router under test and the history of all its requests, against which its actions are checked.
+struct InvariantChecker {
     router: Router,
     classes: Vec<RequestClass>,
     hedging_allowed: bool,
     now: Timestamp,
     requests: BTreeMap<RequestId, RequestHistory>,
-    /// Whether an endpoint drains or is removed.
-    is_barred: [bool; ENDPOINTS],
-    last_request: u64,
+    /// Whether each endpoint is draining or removed, by its number.
+    is_out_of_service: [bool; ENDPOINTS],
+    last_request_id: u64,
 }
 
-impl RuleChecker {
+impl InvariantChecker {
     fn new(hedging_allowed: bool, stale_read_policy: StaleReadPolicy) -> Self {
         let settings =
             Settings { hedging_allowed, stale_read_policy, max_attempts: MAX_ATTEMPTS as u32, ..settings() };
@@ -118,12 +121,13 @@
             hedging_allowed,
             now: START,
             requests: BTreeMap::new(),
-            is_barred: [false; ENDPOINTS],
-            last_request: 0,
+            is_out_of_service: [false; ENDPOINTS],
+            last_request_id: 0,
         }
     }
 
-    /// The event that a step brings, if any.
+    /// Converts a step to an event; `None` if there is no item to pick. Records in the history what the event
+    /// changes.
     fn event(&mut self, step: &Step) -> Option<Event> {
         match step {
             Step::Request { class, group, time_left_ms } => Some(self.request(*class, *group, *time_left_ms)),
@@ -132,16 +136,16 @@
             }
             Step::UpdateEndpoint { endpoint, lifecycle, restarted, primary } => {
                 let lifecycle = LIFECYCLES[*lifecycle];
-                self.is_barred[*endpoint] = lifecycle != Lifecycle::Active;
+                self.is_out_of_service[*endpoint] = lifecycle != Lifecycle::Active;
                 let started_at = restarted.then_some(self.now);
                 let changed = EndpointEntry { lifecycle, started_at, primary: *primary, ..entry(*endpoint) };
                 Some(Event::EndpointUpdate(EndpointUpdate::Delta(vec![changed])))
             }
-            Step::ReplaceEndpoints { kept } => {
-                for (endpoint, is_barred) in self.is_barred.iter_mut().enumerate() {
-                    *is_barred = endpoint >= *kept;
+            Step::ReplaceEndpoints { listed_count } => {
+                for (endpoint, is_out_of_service) in self.is_out_of_service.iter_mut().enumerate() {
+                    *is_out_of_service = endpoint >= *listed_count;
                 }
-                Some(Event::EndpointUpdate(EndpointUpdate::Snapshot((0..*kept).map(entry).collect())))
+                Some(Event::EndpointUpdate(EndpointUpdate::Snapshot((0..*listed_count).map(entry).collect())))
             }
             Step::CompleteHealthCheck { endpoint, position, role } => Some(Event::HealthCheckCompleted {
                 endpoint: endpoint_id(*endpoint),
@@ -158,8 +162,8 @@
     }
 
     fn request(&mut self, class: usize, group: i64, time_left_ms: i64) -> Event {
-        self.last_request += 1;
-        let id = RequestId(self.last_request);
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
         let time_remaining = TimeDelta::from_millis(time_left_ms);
         let group = GroupId(group);
         let deadline = self.now + time_remaining;
@@ -169,7 +173,7 @@
             id,
             class: ClassId(class),
             tenant: None,
-            session: Some(SessionKey(self.last_request % 3)),
+            session: Some(SessionKey(self.last_request_id % 3)),
             time_remaining,
             group,
             since_last_write: None,
@@ -189,18 +193,18 @@
             .iter()
             .flat_map(|(id, request)| {
                 let attempts = request.attempts.iter().enumerate();
-                attempts.filter(|(_, attempt)| attempt.outcome.is_none()).map(|(at, _)| (*id, at))
+                attempts.filter(|(_, attempt)| attempt.outcome.is_none()).map(|(index, _)| (*id, index))
             })
             .collect();
-        let (id, at) = *in_flight.get(pick % in_flight.len().max(1))?;
+        let (id, index) = *in_flight.get(pick % in_flight.len().max(1))?;
         let request = self.requests.get_mut(&id).unwrap();
-        request.attempts[at].outcome = Some(outcome);
+        request.attempts[index].outcome = Some(outcome);
         request.is_done |= outcome == AttemptOutcome::Ok;
         let offset = TimeDelta::from_millis(offset_ms);
         Some(Event::AttemptCompleted(AttemptCompletion {
             request: id,
-            attempt: AttemptNumber(at as u32),
-            endpoint: request.attempts[at].endpoint.clone(),
+            attempt: AttemptNumber(index as u32),
+            endpoint: request.attempts[index].endpoint.clone(),
             outcome,
             metadata: Some(ResponseMetadata { role, position: Some(self.now + offset) }),
             elapsed: offset,
@@ -217,7 +221,7 @@
         Some(Event::RequestAbandoned(id))
     }
 
-    /// Reports an event, and checks each action as it comes.
+    /// Reports an event to the router and checks the resulting actions in their order.
     fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -226,9 +230,12 @@
                 Action::Send { request, endpoint, .. } => self.check_send(request, endpoint),
                 Action::Reject { request, .. } => {
                     let history = self.pending(request);
-                    let ran = history.attempts.iter().any(Attempt::may_have_run);
+                    let may_have_run = history.attempts.iter().any(Attempt::may_have_run);
                     let idempotent = self.is_idempotent(request);
-                    assert!(idempotent || !ran, "a rejection of what may have run");
+                    assert!(
+                        idempotent || !may_have_run,
+                        "a request that may have run and is not idempotent was rejected"
+                    );
                     self.requests.get_mut(&request).unwrap().is_done = true;
                 }
                 Action::Fail { request } => {
@@ -240,14 +247,14 @@
         }
     }
 
-    /// The history of a request that is about to have its final answer.
+    /// The history of a request that gets its final response now and must not have one yet.
     fn pending(&self, id: RequestId) -> &RequestHistory {
-        let history = self.requests.get(&id).expect("a known request");
-        assert!(!history.is_done, "a second final answer");
+        let history = self.requests.get(&id).expect("a response to an unknown request");
+        assert!(!history.is_done, "a second final response to a request");
         history
     }
 
-    /// Whether the class of a request is known as idempotent.
+    /// Whether the class of a request is idempotent; `false` for an unknown class.
     fn is_idempotent(&self, id: RequestId) -> bool {
         let class = self.classes.get(self.requests[&id].class);
         class.is_some_and(|class| class.idempotency == Idempotency::Idempotent)
@@ -255,41 +262,41 @@
 
     fn check_send(&mut self, id: RequestId, endpoint: EndpointId) {
         let is_endpoint = |number: &usize| endpoint_id(*number) == endpoint;
-        let number = (0..ENDPOINTS).find(is_endpoint).expect("a listed endpoint");
-        assert!(!self.is_barred[number], "a send to a draining or removed endpoint");
-        let history = self.requests.get(&id).expect("a known request");
-        assert!(!history.is_done, "a send after the final answer");
-        assert_eq!(group_of(number), history.group, "a send outside the group");
-        assert!(history.class < self.classes.len(), "a send of an unknown class");
+        let number = (0..ENDPOINTS).find(is_endpoint).expect("a send to an endpoint that was never listed");
+        assert!(!self.is_out_of_service[number], "a send to a draining or removed endpoint");
+        let history = self.requests.get(&id).expect("a send of an unknown request");
+        assert!(!history.is_done, "a send after the final response");
+        assert_eq!(group_of(number), history.group, "a send to an endpoint of another group");
+        assert!(history.class < self.classes.len(), "a send of a request of an unknown class");
         let in_flight = history.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
         let idempotent = self.is_idempotent(id);
         let may_hedge = in_flight == 1 && self.hedging_allowed && idempotent;
-        assert!(in_flight == 0 || may_hedge, "a forbidden hedge");
-        let ran = history.attempts.iter().any(Attempt::may_have_run);
-        assert!(idempotent || !ran, "a retry of what may have run");
+        assert!(in_flight == 0 || may_hedge, "a hedge that is not allowed");
+        let may_have_run = history.attempts.iter().any(Attempt::may_have_run);
+        assert!(idempotent || !may_have_run, "a retry of a request that may have run and is not idempotent");
         let history = self.requests.get_mut(&id).unwrap();
         history.attempts.push(Attempt { endpoint, outcome: None });
-        assert!(history.attempts.len() <= MAX_ATTEMPTS, "too many attempts");
+        assert!(history.attempts.len() <= MAX_ATTEMPTS, "more attempts than MAX_ATTEMPTS");
     }
 
     fn check_deadlines(&self) {
         let is_late = |request: &&RequestHistory| {
-            !request.is_done && self.now - request.deadline > ANSWER_AFTER_DEADLINE
+            !request.is_done && self.now - request.deadline > FINAL_RESPONSE_GRACE
         };
         let late = self.requests.values().filter(is_late).count();
-        assert_eq!(late, 0, "requests without an answer after their deadline");
+        assert_eq!(late, 0, "requests without a final response after their deadline");
     }
 }
 
-/// Plays the steps, and then time alone.
-fn play(steps: &[Step], hedging_allowed: bool, stale_read_policy: StaleReadPolicy) {
-    let mut checker = RuleChecker::new(hedging_allowed, stale_read_policy);
+/// Runs the steps, followed by [`IDLE_STEPS`] in which only time passes, and checks the invariants.
+fn run_steps(steps: &[Step], hedging_allowed: bool, stale_read_policy: StaleReadPolicy) {
+    let mut checker = InvariantChecker::new(hedging_allowed, stale_read_policy);
     let all = (0..ENDPOINTS).map(entry).collect();
     let mut pending = Some(Event::EndpointUpdate(EndpointUpdate::Snapshot(all)));
     let idle = vec![Step::Advance { ms: 5 }; IDLE_STEPS];
     for step in steps.iter().chain(&idle) {
         let event = checker.event(step);
-        // The first endpoints are known only after the first step has been prepared.
+        // The initial endpoint list is reported only after the first step was converted to an event.
         for event in pending.take().into_iter().chain(event) {
             checker.report(event);
         }
@@ -297,7 +304,10 @@
             checker.check_deadlines();
         }
     }
-    assert!(checker.requests.values().all(|request| request.is_done), "every request ends");
+    assert!(
+        checker.requests.values().all(|request| request.is_done),
+        "a request has no final response at the end"
+    );
 }
 
 fn run_cases(test: impl Fn(Vec<Step>) -> Result<(), TestCaseError>) {
@@ -307,17 +317,17 @@
 }
 
 #[test]
-fn any_order_of_events_keeps_the_rules_without_hedging() {
+fn any_sequence_of_events_keeps_the_invariants_without_hedging() {
     run_cases(|steps| {
-        play(&steps, false, StaleReadPolicy::Reject);
+        run_steps(&steps, false, StaleReadPolicy::Reject);
         Ok(())
     });
 }
 
 #[test]
-fn any_order_of_events_keeps_the_rules_with_hedging() {
+fn any_sequence_of_events_keeps_the_invariants_with_hedging() {
     run_cases(|steps| {
-        play(&steps, true, StaleReadPolicy::Serve);
+        run_steps(&steps, true, StaleReadPolicy::Serve);
         Ok(())
     });
 }
--- a/crates/routing/tests/router/support.rs
+++ b/crates/routing/tests/router/support.rs
@@ -1,4 +1,5 @@
-//! What all tests of the router share: plain settings, and a host that reports events to a router on its own clock.
+//! Fixtures shared by all tests of the router: settings, and a host that reports events to a router at the
+//! times of a simulated clock.
 
 pub use pooler_routing::{
     Action, AttemptCompletion, AttemptNumber, AttemptOutcome, ClassId, Consistency, Discovery, EndpointEntry,
@@ -8,7 +9,7 @@
 };
 use std::sync::Arc;
 
-/// The classes of [`settings`], by what their requests need.
+/// The request classes of [`settings`]: one for each consistency of reads and each idempotency of writes.
 pub const BOUNDED_READ: ClassId = ClassId(0);
 pub const EVENTUAL_READ: ClassId = ClassId(1);
 pub const SESSION_READ: ClassId = ClassId(2);
@@ -16,14 +17,14 @@
 pub const KEYED_WRITE: ClassId = ClassId(4);
 pub const PLAIN_WRITE: ClassId = ClassId(5);
 
-/// When a host's clock starts.
+/// The time at which a host's clock starts.
 pub const START: Timestamp = Timestamp(1_000_000_000);
-/// How often a host wakes its router while time passes.
+/// The interval at which [`TestHost::advance`] fires the router's timer.
 const TIMER_STEP_MS: i64 = 5;
-/// The deadline of requests that are granted no other.
-const DEADLINE_MS: i64 = 1_000;
-/// How long an attempt takes that is not timed.
-const ATTEMPT_MS: i64 = 5;
+/// The time remaining of requests for which a test specifies none.
+const DEFAULT_DEADLINE_MS: i64 = 1_000;
+/// The elapsed time of attempts for which a test specifies none.
+const DEFAULT_ELAPSED_MS: i64 = 5;
 
 fn class(name: &str, operation: Operation, idempotency: Idempotency) -> RequestClass {
     RequestClass {
@@ -37,7 +38,7 @@
     }
 }
 
-/// Settings with a class for each consistency and each kind of write.
+/// Settings with the classes above; endpoints reject stale reads, and hedging is off.
 pub fn settings() -> Settings {
     let bounded = Consistency::BoundedStaleness(TimeDelta::from_millis(1_000));
     let read = |name, consistency| class(name, Operation::Read(consistency), Idempotency::Idempotent);
@@ -67,22 +68,23 @@
     }
 }
 
-/// The settings with endpoints that serve stale reads too, so that the router has to choose them.
+/// The same settings, except that endpoints also serve stale reads, so that the router must select endpoints
+/// whose data is current enough.
 pub fn settings_where_stale_reads_are_served() -> Settings {
     Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() }
 }
 
-/// The id of the endpoint of this number.
+/// The identifier of the endpoint with this number.
 pub fn endpoint_id(number: usize) -> EndpointId {
     EndpointId(Arc::from(format!("10.0.0.{number}:7000")))
 }
 
-/// The number of an endpoint, of so many.
+/// The number of an endpoint, which must be between 1 and `count`.
 pub fn endpoint_number(count: usize, id: &EndpointId) -> usize {
-    (1..=count).find(|number| endpoint_id(*number) == *id).expect("an endpoint that the router was told of")
+    (1..=count).find(|number| endpoint_id(*number) == *id).expect("the endpoint is not in the endpoint list")
 }
 
-/// An active replica of group 0.
+/// The endpoint list's entry for an active replica of group 0.
 pub fn endpoint_entry(number: usize) -> EndpointEntry {
     EndpointEntry {
         endpoint: endpoint_id(number),
@@ -94,7 +96,7 @@
     }
 }
 
-/// The completion of an attempt that says nothing of the server.
+/// The completion of an attempt without response metadata or a load report.
 pub fn completion(
     request: RequestId,
     attempt: u32,
@@ -107,51 +109,52 @@
         endpoint: endpoint_id(endpoint),
         outcome,
         metadata: None,
-        elapsed: TimeDelta::from_millis(ATTEMPT_MS),
+        elapsed: TimeDelta::from_millis(DEFAULT_ELAPSED_MS),
         request_closed: outcome == AttemptOutcome::Ok,
         load_report: None,
     }
 }
 
-/// A router with its clock.
+/// A host of one router, with a clock that only the test advances.
 pub struct TestHost {
     pub router: Router,
     pub now: Timestamp,
-    last_request: u64,
+    last_request_id: u64,
 }
 
 impl TestHost {
-    /// A router that knows endpoints 1 to `count` of group 0.
+    /// A host whose router's endpoint list has endpoints 1 to `count`, all active replicas of group 0.
     pub fn new(settings: Settings, count: usize) -> Self {
         Self::with_seed(1, settings, count)
     }
 
+    /// The same as [`TestHost::new`], with a seed for the router's random numbers.
     pub fn with_seed(seed: u64, settings: Settings, count: usize) -> Self {
-        let mut host = Self { router: Router::new(seed, settings), now: START, last_request: 0 };
+        let mut host = Self { router: Router::new(seed, settings), now: START, last_request_id: 0 };
         host.replace_endpoints((1..=count).map(endpoint_entry).collect());
         host
     }
 
-    /// A router that knows three endpoints, the first of them shown as the primary.
+    /// A host with three endpoints, of which the first was confirmed as the primary by a health check.
     pub fn with_primary(settings: Settings) -> Self {
         let mut host = Self::new(settings, 3);
         host.complete_health_check(1, Role::Primary, 0);
         host
     }
 
-    /// Reports an event; the router's actions.
+    /// Reports an event and returns the router's actions.
     pub fn report(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Moves the clock without waking the router.
+    /// Advances the clock without reporting an event to the router.
     pub fn advance_clock(&mut self, ms: i64) {
         self.now = self.now + TimeDelta::from_millis(ms);
     }
 
-    /// Lets time pass and wakes the router in small steps.
+    /// Advances the clock in steps of [`TIMER_STEP_MS`], firing the timer at each one. Returns all actions.
     pub fn advance(&mut self, ms: i64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..ms.div_euclid(TIMER_STEP_MS) {
@@ -182,13 +185,13 @@
         self.update_endpoints(vec![EndpointEntry { primary: true, ..endpoint_entry(endpoint) }])
     }
 
-    /// A new request; its id and the router's actions.
+    /// Sends a new request, and returns its identifier and the router's actions.
     pub fn request(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.request_from(class, None, DEADLINE_MS)
+        self.request_from(class, None, DEFAULT_DEADLINE_MS)
     }
 
     pub fn request_in_session(&mut self, class: ClassId, session: u64) -> (RequestId, Vec<Action>) {
-        self.request_from(class, Some(SessionKey(session)), DEADLINE_MS)
+        self.request_from(class, Some(SessionKey(session)), DEFAULT_DEADLINE_MS)
     }
 
     pub fn request_with_deadline(&mut self, class: ClassId, ms: i64) -> (RequestId, Vec<Action>) {
@@ -201,8 +204,8 @@
         session: Option<SessionKey>,
         deadline_ms: i64,
     ) -> (RequestId, Vec<Action>) {
-        self.last_request += 1;
-        let id = RequestId(self.last_request);
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
         let request = Request {
             id,
             class,
@@ -226,7 +229,7 @@
         self.report(Event::AttemptCompleted(completion(id, attempt, endpoint, outcome)))
     }
 
-    /// The same, with the role that the endpoint reports.
+    /// Completes an attempt, with the role that the endpoint reports in the response metadata.
     pub fn complete_attempt_as(
         &mut self,
         id: RequestId,
@@ -242,7 +245,8 @@
         }))
     }
 
-    /// The first attempt succeeds at the primary, which reports its log position.
+    /// Completes the first attempt of a request successfully at an endpoint that reports the primary role and
+    /// a log position.
     pub fn complete_at_position(
         &mut self,
         id: RequestId,
@@ -256,7 +260,7 @@
         }))
     }
 
-    /// Lets that time pass, then the endpoint answers.
+    /// Advances the clock, then completes an attempt successfully with that elapsed time.
     pub fn respond_after(&mut self, id: RequestId, attempt: u32, endpoint: usize, ms: i64) -> Vec<Action> {
         self.advance_clock(ms);
         self.report(Event::AttemptCompleted(AttemptCompletion {
@@ -265,7 +269,7 @@
         }))
     }
 
-    /// The response to a health check: a role, and a log position so far behind the host's clock.
+    /// Completes a health check with a role and a log position that is `lag_ms` behind the host's clock.
     pub fn complete_health_check(&mut self, endpoint: usize, role: Role, lag_ms: i64) -> Vec<Action> {
         let seconds = (self.now - TimeDelta::from_millis(lag_ms)).0 as f64 / 1e6;
         let is_primary = f64::from(u8::from(role == Role::Primary));
@@ -278,7 +282,7 @@
     }
 }
 
-/// The endpoints that the actions send requests to, in their order.
+/// The endpoints to which the actions send attempts, in the order of the actions.
 pub fn sent_to(actions: &[Action]) -> Vec<EndpointId> {
     let endpoint = |action: &Action| match action {
         Action::Send { endpoint, .. } => Some(endpoint.clone()),
@@ -287,12 +291,13 @@
     actions.iter().filter_map(endpoint).collect()
 }
 
-/// The endpoint sent to, of two; the second if none was.
+/// The number of the endpoint to which the actions send a single attempt, out of two endpoints; 2 also if
+/// nothing is sent.
 pub fn first_or_second(actions: &[Action]) -> usize {
     if sent_to(actions) == [endpoint_id(1)] { 1 } else { 2 }
 }
 
-/// The endpoints that the actions health check, in their order.
+/// The endpoints that the actions health-check, in the order of the actions.
 pub fn health_checked(actions: &[Action]) -> Vec<EndpointId> {
     let endpoint = |action: &Action| match action {
         Action::HealthCheck { endpoint } => Some(endpoint.clone()),
@@ -301,18 +306,18 @@
     actions.iter().filter_map(endpoint).collect()
 }
 
-/// Whether the actions fail the request.
+/// Whether the actions contain a failure of the request.
 pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail { request: id })
 }
 
-/// A request's rejection.
+/// The final response of a rejected request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Rejection {
     pub retry_after: Option<TimeDelta>,
 }
 
-/// The rejection of the request among the actions.
+/// The rejection of the request, if the actions contain one.
 pub fn rejection(actions: &[Action], id: RequestId) -> Option<Rejection> {
     actions.iter().find_map(|action| match action {
         Action::Reject { request, retry_after } if *request == id => {
