--- a/crates/routing/src/router/concurrency/tests.rs
+++ b/crates/routing/src/router/concurrency/tests.rs
@@ -4,7 +4,7 @@
 const NOW: Timestamp = Timestamp(5_000_000);
 const ELAPSED: TimeDelta = TimeDelta::from_millis(20);
 
-/// The number of attempts that the limit admits.
+/// The number of attempts in flight up to which the limit admits another one.
 fn admitted(limit: &ConcurrencyLimit, now: Timestamp) -> u32 {
     (0..1_000).take_while(|work| limit.has_room(now, f64::from(*work))).count() as u32
 }
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_limit_grows_only_while_it_is_used() {
+fn the_limit_grows_only_while_most_of_it_is_in_use() {
     let mut limit = ConcurrencyLimit::initial(4);
     limit.record_success(NOW, ELAPSED, 1.0, false);
     assert_eq!(admitted(&limit, NOW), 4);
@@ -33,13 +33,13 @@
     limit.record_success(NOW, ELAPSED, 15.0, true);
     assert_eq!(admitted(&limit, NOW), 12);
     limit.lower(NOW + TimeDelta::from_millis(1), ELAPSED, 15.0);
-    assert_eq!(admitted(&limit, NOW), 12, "that attempt was sent before the limit was lowered");
+    assert_eq!(admitted(&limit, NOW), 12, "the attempt was sent before the limit was lowered");
     limit.lower(NOW + ELAPSED, ELAPSED, 1.0);
-    assert_eq!(admitted(&limit, NOW), 2, "it is lowered from the work in flight");
+    assert_eq!(admitted(&limit, NOW), 2, "the decrease starts from the attempts in flight");
 }
 
 #[test]
-fn a_pause_after_rejected_writes_doubles_up_to_a_bound() {
+fn the_backoff_after_rejected_writes_doubles_up_to_a_bound() {
     let mut limit = ConcurrencyLimit::initial(1);
     let mut pauses = Vec::new();
     for _ in 0..5 {
@@ -49,5 +49,8 @@
     }
     assert_eq!(pauses, [20, 40, 80, 160, 250]);
     limit.back_off(NOW, Some(ELAPSED), false);
-    assert!(limit.has_room(NOW + ELAPSED, 0.0), "a rejected read pauses for one response time");
+    assert!(
+        limit.has_room(NOW + ELAPSED, 0.0),
+        "the backoff after a rejected read lasts for one response time"
+    );
 }
--- a/crates/routing/src/router/decaying.rs
+++ b/crates/routing/src/router/decaying.rs
@@ -1,20 +1,20 @@
-//! Sums over the recent past, in which older contributions count exponentially less.
+//! Exponentially decaying sums and ratios over the recent past.
 
 #[cfg(test)]
 mod tests;
 
 use crate::{TimeDelta, Timestamp};
 
-/// The total that a prior counts for in an estimated ratio.
+/// The total that the prior counts for in an estimated ratio.
 const PRIOR_WEIGHT: f64 = 3.0;
 
-/// The fraction of its weight that something observed at `then` still has, after a decay by `e` in every
-/// `memory`.
+/// The fraction of its weight that an observation at `then` still has at `now`. `memory` is the time
+/// constant, in which the weight decays by a factor of e.
 pub(super) fn remaining_weight(then: Timestamp, now: Timestamp, memory: TimeDelta) -> f64 {
     (-((now - then).0 as f64) / memory.0 as f64).exp()
 }
 
-/// A decaying sum.
+/// An exponentially decaying count of events.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DecayingCount {
     sum: f64,
@@ -28,19 +28,19 @@
 }
 
 impl DecayingCount {
-    /// The sum as of `now`.
+    /// The count as of `now`.
     pub(super) fn value(&self, now: Timestamp, memory: TimeDelta) -> f64 {
         self.sum * remaining_weight(self.updated_at, now, memory)
     }
 
-    /// Adds one.
+    /// Adds one event.
     pub(super) fn increment(&mut self, now: Timestamp, memory: TimeDelta) {
         self.sum = self.value(now, memory) + 1.0;
         self.updated_at = now;
     }
 }
 
-/// A decaying sum, and the part of it that has some property.
+/// Two exponentially decaying sums: a total, and the part of it that matches some criterion.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DecayingRatio {
     matching: f64,
@@ -55,7 +55,7 @@
 }
 
 impl DecayingRatio {
-    /// Adds to both sums.
+    /// Adds to the two sums.
     pub(super) fn add(&mut self, now: Timestamp, memory: TimeDelta, matching: f64, total: f64) {
         let weight = remaining_weight(self.updated_at, now, memory);
         self.matching = self.matching * weight + matching;
@@ -68,7 +68,7 @@
         self.total * remaining_weight(self.updated_at, now, memory)
     }
 
-    /// The ratio as of `now`; the less was counted, the closer it is to `prior`.
+    /// The ratio of the matching part as of `now`. The smaller the total, the closer it is to `prior`.
     pub(super) fn estimate(&self, now: Timestamp, memory: TimeDelta, prior: f64) -> f64 {
         let weight = remaining_weight(self.updated_at, now, memory);
         (self.matching * weight + prior * PRIOR_WEIGHT) / (self.total * weight + PRIOR_WEIGHT)
--- a/crates/routing/src/router/endpoint.rs
+++ b/crates/routing/src/router/endpoint.rs
@@ -1,4 +1,5 @@
-//! An endpoint, with what the other parts keep for it.
+//! The state of one endpoint: its entry in the endpoint list, and the state that other modules keep for each
+//! endpoint.
 
 use super::concurrency::ConcurrencyLimit;
 use super::fleet_clock::FleetClock;
@@ -12,35 +13,36 @@
 use crate::primary_search::SearchTarget;
 use crate::{EndpointEntry, EndpointId, GroupId, Lifecycle, Role, Timestamp};
 
-/// An endpoint.
+/// What the router knows of one endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     id: EndpointId,
     group: GroupId,
     lifecycle: Lifecycle,
     is_listed_primary: bool,
-    /// When its last health check was sent.
+    /// When the last health check was sent to the endpoint.
     health_checked_at: Timestamp,
-    /// How current its data is.
+    /// The log position that the endpoint has applied.
     pub(super) freshness: ReplicaFreshness,
-    /// Whether it is the primary.
+    /// The evidence that the endpoint is the primary or a replica.
     pub(super) role_evidence: RoleEvidence,
-    /// Its work for this router.
+    /// The attempts of this router that the endpoint works on.
     pub(super) work: EndpointWork,
-    /// How much slower than usual it responds.
+    /// How much slower than usual the endpoint responds.
     pub(super) slowness: Slowness,
-    /// When it takes a read although it is passed over.
+    /// When the endpoint is sent a read although the load balancer passes it over.
     pub(super) read_trials: ReadTrials,
-    /// Its failures and ejections.
+    /// The failure score and the ejections of the endpoint.
     pub(super) failures: FailureScore,
-    /// How much work it may have.
+    /// How many attempts of this router the endpoint may work on at the same time.
     pub(super) concurrency: ConcurrencyLimit,
-    /// Its warm-up after a start.
+    /// The warm-up of the endpoint after its last start.
     pub(super) warm_up: WarmUp,
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing is known yet.
+    /// Creates the state of an endpoint of which nothing is known yet. It counts as removed until its entry
+    /// in the endpoint list is applied.
     pub(super) fn new(id: EndpointId, group: GroupId, concurrency: ConcurrencyLimit) -> Self {
         Self {
             id,
@@ -59,28 +61,26 @@
         }
     }
 
-    /// Its identifier.
     pub(super) fn id(&self) -> &EndpointId {
         &self.id
     }
 
-    /// Its group.
     pub(super) fn group(&self) -> GroupId {
         self.group
     }
 
-    /// The role that the latest evidence shows.
+    /// The role of the endpoint by the latest evidence.
     pub(super) fn role(&self) -> Role {
         self.role_evidence.role()
     }
 
-    /// Whether the endpoint list shows it as the primary.
+    /// Whether the endpoint list marks the endpoint as the primary.
     pub(super) fn is_listed_primary(&self) -> bool {
         self.is_listed_primary
     }
 
-    /// Whether the endpoint list permits to send it anything new; with `soft_removal`, a removed one is
-    /// permitted.
+    /// Whether the endpoint list permits new attempts and health checks. With `soft_removal`, it permits them
+    /// for a removed endpoint too.
     pub(super) fn accepts_new_work(&self, soft_removal: bool) -> bool {
         match self.lifecycle {
             Lifecycle::Active => true,
@@ -89,61 +89,65 @@
         }
     }
 
-    /// When its last health check was sent.
+    /// When the last health check was sent to the endpoint.
     pub(super) fn health_checked_at(&self) -> Timestamp {
         self.health_checked_at
     }
 
-    /// A health check is sent.
+    /// Records that a health check is sent to the endpoint.
     pub(super) fn record_health_check(&mut self, now: Timestamp) {
         self.health_checked_at = now;
     }
 
-    /// It has just started: it is cold, and has the lowest concurrency limit.
+    /// Records that the endpoint has just started: its warm-up begins with so many slow-start tokens, and its
+    /// concurrency limit falls to the minimum.
     pub(super) fn restart(&mut self, now: Timestamp, tokens: f64) {
         self.warm_up.restart(now, now, tokens);
         self.concurrency.reset();
     }
 
-    /// Records the start that the endpoint list shows.
+    /// Records the start time in the endpoint list. A later start than the known one resets the concurrency
+    /// limit.
     pub(super) fn observe_listed_start(&mut self, now: Timestamp, start: ListedStart, clock: &FleetClock) {
         if self.warm_up.observe_listed_start(now, start, clock) {
             self.concurrency.reset();
         }
     }
 
-    /// Dates the listed start anew, after the fleet's clock was confirmed or corrected.
-    pub(super) fn redate_listed_start(&mut self, now: Timestamp, clock: &FleetClock) {
-        if self.warm_up.redate_listed_start(now, clock) {
+    /// Converts the listed start to the router's clock again, after the fleet clock was confirmed or
+    /// corrected.
+    pub(super) fn recompute_listed_start(&mut self, now: Timestamp, clock: &FleetClock) {
+        if self.warm_up.recompute_listed_start(now, clock) {
             self.concurrency.reset();
         }
     }
 
-    /// Updates it from its entry in the endpoint list, and returns the group that it was in.
+    /// Updates the endpoint from its entry in the endpoint list, and returns its previous group.
     pub(super) fn update(&mut self, entry: &EndpointEntry) -> GroupId {
         self.is_listed_primary = entry.primary;
         self.set_lifecycle(entry.lifecycle);
         std::mem::replace(&mut self.group, entry.group)
     }
 
-    /// Sets its lifecycle state. A removal does not override a drain, which remains binding.
+    /// Sets the lifecycle state. A removal does not override a drain: with soft removal, a removed endpoint
+    /// may still be sent requests, and a draining one may not.
     pub(super) fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
         if self.lifecycle != Lifecycle::Draining || lifecycle == Lifecycle::Active {
             self.lifecycle = lifecycle;
         }
     }
 
-    /// Whether it is in service.
+    /// Whether the lifecycle state of the endpoint is active.
     pub(super) fn is_active(&self) -> bool {
         self.lifecycle == Lifecycle::Active
     }
 
-    /// Whether it can be forgotten: it is out of service, and has no attempt in flight.
+    /// Whether the state of the endpoint can be discarded: it is not active, and no attempt is in flight.
     pub(super) fn is_evictable(&self) -> bool {
         !self.is_active() && self.work.is_idle()
     }
 
-    /// What the search for a primary needs to know of it.
+    /// The endpoint as a target of the primary search.
     pub(super) fn search_target(&self) -> SearchTarget<'_> {
         SearchTarget {
             endpoint: &self.id,
--- a/crates/routing/src/router/endpoint_outcomes.rs
+++ b/crates/routing/src/router/endpoint_outcomes.rs
@@ -1,5 +1,5 @@
-//! What the end of an attempt or a health check means for its endpoint: failures, latency, and signs of
-//! overload.
+//! Updates the state of an endpoint when an attempt or a health check completes: failure score, latency,
+//! concurrency limit, warm-up and overload ratio.
 
 use super::Router;
 use super::cluster_view::ClusterView;
@@ -10,43 +10,45 @@
 use crate::time::Microseconds;
 use crate::{AttemptOutcome, EndpointId, GroupId, Role, StaleReadPolicy, TimeDelta, Timestamp};
 
-/// The fraction of the objective within which an endpoint that is not overloaded responds.
+/// A response that takes longer than this fraction of its class's latency objective is a sign of overload.
 const TIMELY_FRACTION: f64 = 0.4;
 
 /// An attempt or a health check that completed.
 pub(super) struct CompletedAttempt {
-    /// Where it was sent.
+    /// The endpoint that the attempt or the health check was sent to.
     pub(super) endpoint: EndpointId,
-    /// How it completed.
+    /// How the attempt or the health check ended, after corrections by what else is known of the endpoint.
     pub(super) outcome: AttemptOutcome,
-    /// The time since it was sent.
+    /// The time since the attempt or the health check was sent.
     pub(super) elapsed: TimeDelta,
-    /// The attempt; `None` for a health check, or if it is no longer known.
+    /// The attempt; `None` for a health check, or if the attempt is no longer known.
     pub(super) attempt: Option<InFlightAttempt>,
-    /// It was an attempt of a write.
+    /// Whether the attempt was one of a write.
     pub(super) is_write: bool,
 }
 
-/// The endpoint as it was when the attempt completed.
+/// The state of the endpoint at the completion, before it is updated.
 struct OutcomeContext {
     group: GroupId,
     role: Role,
-    /// Its other work.
+    /// The number of other attempts that the endpoint works on for this router.
     work: f64,
     slow_start_tokens: f64,
-    /// The attempt got lost while later ones were answered, which says nothing about the endpoint.
+    /// The attempt went unanswered for far too long while a later one was answered. It was lost, which is no
+    /// failure of the endpoint.
     was_overtaken: bool,
-    /// It responded to other attempts since this one was sent.
+    /// The endpoint responded to other attempts after this one was sent.
     has_responded_meanwhile: bool,
-    /// The usual latency of the class.
+    /// The usual latency of the attempt's class; `None` without an attempt.
     class_latency: Option<LatencyEstimate>,
-    /// The response was late, or a rejection.
+    /// The response was a rejection, or came later than an endpoint that is not overloaded responds.
     is_late: bool,
 }
 
 impl Router {
-    /// A health check completed. A success does not show that attempts are answered: it bypasses the queue of
-    /// an endpoint that hangs.
+    /// Handles the completion of a health check. Only a failure to connect counts as an outcome: a success
+    /// does not show that attempts are answered, because health checks bypass the queue of an endpoint that
+    /// hangs.
     pub(super) fn on_health_check_completed(
         &mut self,
         now: Timestamp,
@@ -64,11 +66,11 @@
         }
     }
 
-    /// Records how an attempt or a health check ended at its endpoint.
+    /// Updates the state of the endpoint after an attempt, or after a health check that could not connect.
     pub(super) fn record_outcome(&mut self, now: Timestamp, completed: &CompletedAttempt) {
         let Some(context) = self.view(now).outcome_context(completed) else { return };
         self.queue_schedule.retry(context.group);
-        // What became overdue or was closed while this router itself stalled says nothing about the endpoint.
+        // A timeout or a closed connection after a stall of this router itself is no failure of the endpoint.
         let is_lost = matches!(completed.outcome, AttemptOutcome::Timeout | AttemptOutcome::ConnectionReset);
         if self.timers.has_stalled(now) && is_lost {
             return;
@@ -85,7 +87,8 @@
             AttemptOutcome::ConnectTimeout => self.record_unreachable(now, completed),
             AttemptOutcome::Rejected => self.record_rejection(now, completed, &context),
             AttemptOutcome::NotEligible => self.record_not_eligible(now, completed),
-            // An error is a failure of the endpoint only if another one answers the same request.
+            // An error counts as a failure of the endpoint only once another endpoint answers the same
+            // request.
             AttemptOutcome::Error | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
         self.record_latency(now, completed, &context);
@@ -128,8 +131,8 @@
         if context.was_overtaken {
             return;
         }
-        // An endpoint that responded to others meanwhile is overloaded, not down: ejecting for that would
-        // eject all.
+        // An endpoint that responded to other attempts meanwhile is overloaded, not down. Ejecting endpoints
+        // for overload would eject all of them.
         if !context.has_responded_meanwhile {
             self.record_failure(now, completed, Failure::LostResponse);
         } else if let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) {
@@ -137,7 +140,8 @@
         }
     }
 
-    /// The endpoint was down. If it comes back it is cold, whatever the endpoint list shows.
+    /// Records a refused connection: the endpoint was down, and is cold when it returns, whatever start the
+    /// endpoint list shows.
     fn record_refused(
         &mut self,
         now: Timestamp,
@@ -151,8 +155,8 @@
         }
     }
 
-    /// The endpoint is silent or cut off, not restarted. Until the endpoint list shows more, few attempts
-    /// show what it can do.
+    /// Records a connect timeout: the endpoint hangs or is partitioned, but has not restarted. Its
+    /// concurrency limit starts again from the minimum, since its current capacity is unknown.
     fn record_unreachable(&mut self, now: Timestamp, completed: &CompletedAttempt) {
         self.record_failure(now, completed, Failure::NoConnection);
         if let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) {
@@ -209,7 +213,8 @@
         self.latency.observe(attempt.class, completed.elapsed);
     }
 
-    /// Records whether the endpoint responded in the usual time, by which it may take reads again.
+    /// Records whether the endpoint responded in the usual time, which determines when it is sent its next
+    /// trial read.
     fn record_trial(&mut self, completed: &CompletedAttempt, context: &OutcomeContext) {
         let Some(usual) = context.class_latency else { return };
         let Some(endpoint) = self.endpoints.get_mut(&completed.endpoint) else { return };
--- a/crates/routing/src/router/endpoint_reports.rs
+++ b/crates/routing/src/router/endpoint_reports.rs
@@ -1,5 +1,5 @@
-//! Evidence of the primary and of how far endpoints have applied the log, from response metadata, load
-//! reports and health checks.
+//! Updates the fleet clock, log positions and role evidence from response metadata and from the load reports
+//! of attempts and health checks.
 
 use super::Router;
 use super::load_report::LoadReport;
@@ -20,7 +20,8 @@
         let present = self.clock.to_fleet_time(now);
         let is_confirmed = self.clock.is_confirmed();
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
-        // The position in the response to a write is that of its commit, which only a primary makes.
+        // The response to a write carries the position of its commit. Only a primary commits, so from a
+        // replica it is no position that the endpoint has applied.
         let applied = position.filter(|_| !is_write || is_primary);
         if let Some(position) = applied {
             endpoint.freshness.observe_response(now, position);
@@ -28,7 +29,8 @@
         match metadata.role {
             Some(Role::Primary) => {
                 let sent_at = present - elapsed;
-                // Unless the clock is confirmed, a moment of it dates no position.
+                // A primary has applied the log up to the time at which the attempt was sent. An unconfirmed
+                // clock may be wrong about that time.
                 if is_confirmed {
                     endpoint.freshness.raise_position(sent_at);
                 }
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Updates the fleet's clock from the position in a response, and returns the position if it is valid.
+    /// Updates the fleet clock from the position in a response, and returns the position if it is valid.
     fn record_position(
         &mut self,
         now: Timestamp,
@@ -88,26 +90,27 @@
 
     fn on_clock_observed(&mut self, now: Timestamp, was_confirmed: bool) {
         if !was_confirmed && self.clock.is_confirmed() {
-            self.endpoints.redate_listed_starts(now, &self.clock);
+            self.endpoints.recompute_listed_starts(now, &self.clock);
         }
     }
 
     fn on_clock_set_back(&mut self, now: Timestamp) {
-        self.endpoints.limit_times(self.clock.to_fleet_time(now));
-        self.endpoints.redate_listed_starts(now, &self.clock);
-        self.log.set("the clock was ahead of the fleet's".to_owned());
+        self.endpoints.cap_times(self.clock.to_fleet_time(now));
+        self.endpoints.recompute_listed_starts(now, &self.clock);
+        self.log.set("the estimated fleet time was ahead and has been set back".to_owned());
     }
 
-    /// An endpoint was the primary at a moment of the fleet's clock. It is believed to be, unless there
-    /// is later evidence of another one.
+    /// Records that an endpoint was the primary at `at`, on the fleet clock. It becomes the believed primary
+    /// unless there is later evidence for another endpoint.
     fn record_primary(&mut self, now: Timestamp, id: &EndpointId, at: Timestamp) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         endpoint.role_evidence.observe_primary(at);
         let group_id = endpoint.group();
-        let rival = self.endpoints.believed_primary(group_id).filter(|believed| believed.id() != id);
-        let rival_at = rival.map_or(Timestamp::DISTANT_PAST, |rival| rival.role_evidence.primary_at());
+        let other = self.endpoints.believed_primary(group_id).filter(|believed| believed.id() != id);
+        let other_primary_at =
+            other.map_or(Timestamp::DISTANT_PAST, |other| other.role_evidence.primary_at());
         let Some(group) = self.endpoints.group_mut(group_id) else { return };
-        if at > rival_at {
+        if at > other_primary_at {
             if group.primary.is_unknown() || group.primary.believed() != Some(id) {
                 self.log.set(format!("group {}: primary confirmed at {}", group_id.0, id.0));
             }
@@ -117,7 +120,7 @@
         if self.view(now).confirmed_primary(group_id).is_some()
             && let Some(group) = self.endpoints.group_mut(group_id)
         {
-            group.primary.mark_found();
+            group.primary.mark_known();
         }
     }
 }
--- a/crates/routing/src/router/endpoint_updates.rs
+++ b/crates/routing/src/router/endpoint_updates.rs
@@ -1,5 +1,6 @@
-//! Updates of the endpoint list. They name the endpoints, their drains and starts. Of the primary they are
-//! only a hint, weaker than what endpoints report themselves.
+//! Applies updates of the endpoint list, which determine the endpoints, their lifecycle states and start
+//! times. The primary that the list names is only a hint: what the endpoints report themselves takes
+//! precedence.
 
 use super::Router;
 use super::concurrency::ConcurrencyLimit;
@@ -7,7 +8,7 @@
 use crate::{EndpointEntry, EndpointUpdate, Timestamp};
 
 impl Router {
-    /// The endpoint list changed.
+    /// Applies an update of the endpoint list.
     pub(super) fn on_endpoint_update(&mut self, now: Timestamp, update: EndpointUpdate) {
         match update {
             EndpointUpdate::Snapshot(entries) => {
--- a/crates/routing/src/router/endpoints.rs
+++ b/crates/routing/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints and their groups.
+//! All known endpoints, and the replication groups that they belong to.
 
 use super::concurrency::ConcurrencyLimit;
 use super::endpoint::Endpoint;
@@ -9,15 +9,15 @@
 use crate::{EndpointEntry, EndpointId, GroupId, Lifecycle, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replication group.
+/// The state of one replication group.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Group {
     endpoints: BTreeSet<EndpointId>,
-    /// What the router believes of its primary.
+    /// The believed primary of the group, and the search for it.
     pub(super) primary: GroupPrimary,
-    /// Its queued requests.
+    /// The queued requests of the group.
     pub(super) queue: RequestQueue,
-    /// How overloaded its endpoints are.
+    /// The overload ratios of the group's primary and replicas.
     pub(super) overload: OverloadRatios,
 }
 
@@ -27,27 +27,27 @@
         self.primary.remove_endpoint(endpoint);
     }
 
-    /// A group without endpoints lasts no longer than its requests.
+    /// Whether the group has endpoints or queued requests. A group without either is removed, or requests for
+    /// unknown groups would accumulate state.
     fn is_in_use(&self) -> bool {
         !self.endpoints.is_empty() || !self.queue.is_empty()
     }
 }
 
-/// All endpoints and groups.
+/// All endpoints and groups. Each identifier in a group's set of endpoints has an entry in `endpoints`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Endpoints {
     endpoints: BTreeMap<EndpointId, Endpoint>,
     groups: BTreeMap<GroupId, Group>,
+    /// The number of endpoints whose lifecycle state is active.
     active_count: usize,
 }
 
 impl Endpoints {
-    /// An endpoint.
     pub(super) fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(id)
     }
 
-    /// An endpoint, to record what was learned of it.
     pub(super) fn get_mut(&mut self, id: &EndpointId) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(id)
     }
@@ -57,17 +57,15 @@
         self.endpoints.values()
     }
 
-    /// A group.
     pub(super) fn group(&self, id: GroupId) -> Option<&Group> {
         self.groups.get(&id)
     }
 
-    /// A group, to record what was learned of it.
     pub(super) fn group_mut(&mut self, id: GroupId) -> Option<&mut Group> {
         self.groups.get_mut(&id)
     }
 
-    /// A group, which is added if no endpoint is listed in it.
+    /// Returns a group, and adds it if it is unknown because no endpoint is listed in it.
     pub(super) fn group_or_insert(&mut self, id: GroupId) -> &mut Group {
         self.groups.entry(id).or_default()
     }
@@ -77,18 +75,18 @@
         group.endpoints.iter().map(|id| &self.endpoints[id])
     }
 
-    /// The endpoint that is believed to be a group's primary.
+    /// The believed primary of a group.
     pub(super) fn believed_primary(&self, group: GroupId) -> Option<&Endpoint> {
         self.groups.get(&group)?.primary.believed().map(|id| &self.endpoints[id])
     }
 
-    /// The number of endpoints in service.
+    /// The number of endpoints whose lifecycle state is active, over all groups.
     pub(super) fn active_count(&self) -> usize {
         self.active_count
     }
 
-    /// Adds or updates the endpoint of an entry of the endpoint list; `initial_limit` is that of an endpoint
-    /// not known before.
+    /// Adds or updates the endpoint of an entry in the endpoint list. `initial_limit` is the concurrency
+    /// limit of an endpoint that was not known before.
     pub(super) fn upsert(&mut self, entry: &EndpointEntry, initial_limit: ConcurrencyLimit) -> &mut Endpoint {
         self.groups.entry(entry.group).or_default().endpoints.insert(entry.endpoint.clone());
         let new = || Endpoint::new(entry.endpoint.clone(), entry.group, initial_limit);
@@ -105,7 +103,7 @@
         endpoint
     }
 
-    /// Removes from service the endpoints that a snapshot of the endpoint list does not contain.
+    /// Marks as removed the endpoints that a snapshot of the endpoint list does not contain.
     pub(super) fn remove_unlisted(&mut self, listed: &BTreeSet<EndpointId>) {
         for endpoint in self.endpoints.values_mut().filter(|endpoint| !listed.contains(endpoint.id())) {
             self.active_count -= usize::from(endpoint.is_active());
@@ -113,7 +111,8 @@
         }
     }
 
-    /// Forgets endpoints that are out of service and have no attempt in flight.
+    /// Discards the state of the endpoints among `ids` that are not active and have no attempt in flight, and
+    /// of groups that are no longer in use.
     pub(super) fn evict(&mut self, ids: &[EndpointId]) {
         for id in ids {
             let Some(endpoint) = self.endpoints.get(id).filter(|endpoint| endpoint.is_evictable()) else {
@@ -134,22 +133,24 @@
         }
     }
 
-    /// The fleet's clock was ahead: nothing that was dated by it is later than the present.
-    pub(super) fn limit_times(&mut self, present: Timestamp) {
+    /// Lowers positions and role evidence that are later than the present, after the fleet clock was set
+    /// back: they were dated while it was ahead.
+    pub(super) fn cap_times(&mut self, present: Timestamp) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.freshness.limit_position(present);
-            endpoint.role_evidence.limit_to(present);
+            endpoint.freshness.cap_position(present);
+            endpoint.role_evidence.cap_times(present);
         }
     }
 
-    /// Dates listed starts anew, after the clock was confirmed or corrected.
-    pub(super) fn redate_listed_starts(&mut self, now: Timestamp, clock: &FleetClock) {
+    /// Converts the listed starts to the router's clock again, after the fleet clock was confirmed or
+    /// corrected.
+    pub(super) fn recompute_listed_starts(&mut self, now: Timestamp, clock: &FleetClock) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.redate_listed_start(now, clock);
+            endpoint.recompute_listed_start(now, clock);
         }
     }
 
-    /// Continues the search for a group's primary, and returns the endpoints to health-check.
+    /// Continues the primary search of a group, and returns the endpoints to health-check now.
     pub(super) fn continue_primary_search(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/router/fleet_clock/tests.rs
+++ b/crates/routing/src/router/fleet_clock/tests.rs
@@ -14,11 +14,11 @@
     assert!(clock.observe_position(NOW, NOW + seconds(3)));
     assert_eq!(clock.to_fleet_time(NOW), NOW + seconds(3));
     assert_eq!(clock.to_router_time(NOW + seconds(3)), NOW);
-    assert!(!clock.is_confirmed(), "it was not a primary's");
+    assert!(!clock.is_confirmed(), "only a primary's report confirms the clock");
 }
 
 #[test]
-fn a_position_hours_ahead_is_invalid() {
+fn a_position_that_is_hours_ahead_is_invalid_and_leaves_the_clock() {
     let mut clock = FleetClock::default();
     assert!(!clock.observe_position(NOW, NOW + seconds(3 * 3_600)));
     assert_eq!(clock.to_fleet_time(NOW), NOW);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_commit_sets_the_clock_back_but_not_behind_a_known_position() {
+fn a_commit_sets_the_clock_back_but_not_behind_a_reported_position() {
     let mut clock = FleetClock::default();
     assert!(clock.observe_position(NOW, NOW - seconds(1)));
     assert!(clock.observe_commit(NOW, NOW - seconds(4), ELAPSED));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_wait_for_a_confirmation_ends() {
+fn the_wait_for_a_confirmation_is_bounded() {
     let mut clock = FleetClock::default();
     assert!(!clock.has_awaited_confirmation(NOW));
     assert!(!clock.has_awaited_confirmation(NOW + TimeDelta::from_millis(99)));
--- a/crates/routing/src/router/freshness.rs
+++ b/crates/routing/src/router/freshness.rs
@@ -1,4 +1,5 @@
-//! How current the data of an endpoint is, and what reads require.
+//! Replication lag: the log positions that endpoints have applied, the positions that reads require, and the
+//! session tokens for read-your-writes.
 
 #[cfg(test)]
 mod tests;
@@ -8,32 +9,35 @@
 use crate::{Consistency, Operation, SessionKey, StaleReadPolicy, TimeDelta, Timestamp};
 use std::collections::HashMap;
 
-/// How long a rejected read, or an observed replication lag, counts against an endpoint.
+/// How long a read that an endpoint rejected, or a replication lag observed on it, makes it ineligible for
+/// similar reads where endpoints reject stale reads. Also the interval between health checks for reads
+/// without a staleness bound.
 pub(super) const LAG_MEMORY: TimeDelta = TimeDelta::from_millis(1_000);
-/// After how long a report of an old position is taken as a new observation, as it shows that the endpoint
-/// still lags.
+/// A report without a later position counts as a new observation if the last one is older than this: it shows
+/// that the endpoint still lags.
 const MAX_OBSERVATION_AGE: TimeDelta = TimeDelta::from_millis(500);
-/// How soon an endpoint that may have caught up by now is health-checked again: reads come within a second of
-/// their session's writes.
+/// The shortest interval between health checks of an endpoint that may have caught up by now. It is short
+/// since reads arrive within a second of their session's writes.
 const CAUGHT_UP_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// Session tokens beyond this number are dropped once every endpoint has applied them.
+/// Above this number of session tokens, those that every endpoint has applied are removed.
 const MAX_SESSION_TOKENS: usize = 8_192;
-/// Added to the token that a request carries: the commit was rounded up, and its age may be rounded too.
+/// Added to the session token that a request carries: the commit time was rounded up, and its age may have
+/// been rounded too.
 const CARRIED_TOKEN_MARGIN: TimeDelta = TimeDelta::from_millis(1);
 
-/// A read that an endpoint rejected because its data was too old.
+/// A read that an endpoint rejected because the endpoint's data was too old.
 #[derive(Clone, Copy, Debug)]
 struct RejectedRead {
     required_position: Timestamp,
     at: Timestamp,
 }
 
-/// How far an endpoint has applied the log.
+/// The log position that an endpoint has applied, as far as the router knows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaFreshness {
-    /// It has applied all up to here.
+    /// The endpoint has applied the log at least up to this position.
     position: Timestamp,
-    /// When the position was observed.
+    /// When the position was last observed, on the router's clock.
     observed_at: Timestamp,
     last_rejected_read: Option<RejectedRead>,
 }
@@ -49,18 +53,18 @@
 }
 
 impl ReplicaFreshness {
-    /// The position up to which it is known to have applied the log.
+    /// The position up to which the endpoint is known to have applied the log.
     pub(super) fn position(&self) -> Timestamp {
         self.position
     }
 
-    /// Records the position from a response.
+    /// Records the position in the metadata of a response, which is current.
     pub(super) fn observe_response(&mut self, now: Timestamp, position: Timestamp) {
         self.raise_position(position);
         self.observed_at = now;
     }
 
-    /// Records the position from a load report, which may be old.
+    /// Records the position in a load report, which may have been measured earlier.
     pub(super) fn observe_report(&mut self, now: Timestamp, position: Timestamp) {
         if position > self.position || now - self.observed_at > MAX_OBSERVATION_AGE {
             self.observed_at = now;
@@ -68,23 +72,26 @@
         self.raise_position(position);
     }
 
-    /// Records that it has applied the log at least up to a position.
+    /// Records that the endpoint has applied the log at least up to a position, without a new observation of
+    /// its lag.
     pub(super) fn raise_position(&mut self, position: Timestamp) {
         self.position = self.position.max(position);
     }
 
-    /// The fleet's clock was ahead: a position is no later than the present.
-    pub(super) fn limit_position(&mut self, present: Timestamp) {
+    /// Lowers a position that is later than the present, after the fleet clock was set back.
+    pub(super) fn cap_position(&mut self, present: Timestamp) {
         self.position = self.position.min(present);
     }
 
-    /// It rejected a read because its data is older than this.
+    /// Records that the endpoint rejected a read because it has not applied the log up to
+    /// `required_position`.
     pub(super) fn record_rejected_read(&mut self, now: Timestamp, required_position: Timestamp) {
         self.last_rejected_read = Some(RejectedRead { required_position, at: now });
     }
 
-    /// Whether a read that requires this position may be sent to it. Where endpoints reject reads for which
-    /// their data is too old, that includes an endpoint whose position is unknown.
+    /// Whether a read that requires a position may be sent to the endpoint. If endpoints serve stale reads,
+    /// the position must be known to be applied. If they reject stale reads, it is enough that the endpoint
+    /// may have caught up, or that its position is unknown.
     pub(super) fn may_serve(
         &self,
         now: Timestamp,
@@ -102,8 +109,9 @@
         policy == StaleReadPolicy::Reject && !has_rejected && may_have_caught_up
     }
 
-    /// Whether a health check may show by now that it has reached this position, after the last one at
-    /// `health_checked_at`: soon if its lag was small when last observed, else after `interval`.
+    /// Whether another health check is due to learn whether the endpoint has reached a position. The last
+    /// check was at `health_checked_at`. If the endpoint may have caught up since it was last observed, the
+    /// next one is due after [`CAUGHT_UP_CHECK_INTERVAL`], else after `interval`.
     pub(super) fn is_check_due(
         &self,
         now: Timestamp,
@@ -118,7 +126,7 @@
     }
 }
 
-/// The log position that an endpoint must have applied to serve a request, if there is one.
+/// The log position that an endpoint must have applied to serve a request; `None` if any will do.
 pub(super) fn required_position(
     operation: Operation,
     request: &PendingRequest,
@@ -133,7 +141,7 @@
     }
 }
 
-/// The interval between health checks of a lagging endpoint's position for a read.
+/// The interval between health checks of a lagging endpoint for reads of this kind.
 pub(super) fn check_interval(operation: Operation) -> TimeDelta {
     match operation {
         Operation::Read(Consistency::BoundedStaleness(bound)) => bound,
@@ -141,36 +149,36 @@
     }
 }
 
-/// The token of a request that carries how long ago its session last wrote.
+/// The session token of a request that carries how long before its arrival its session last committed.
 pub(super) fn carried_session_token(now: Timestamp, since_last_write: TimeDelta) -> Timestamp {
     now - since_last_write + CARRIED_TOKEN_MARGIN
 }
 
-/// The last commits of sessions, which their reads must see.
+/// The session tokens: by session, the position of its last commit, which its reads must include.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SessionTokens {
     last_commits: HashMap<SessionKey, Timestamp>,
 }
 
 impl SessionTokens {
-    /// The last commit of a session.
+    /// The session token: the position of the session's last commit.
     pub(super) fn get(&self, session: SessionKey) -> Option<Timestamp> {
         self.last_commits.get(&session).copied()
     }
 
-    /// Records a commit.
+    /// Records the position of a commit. An earlier one than that recorded changes nothing.
     pub(super) fn record_commit(&mut self, session: SessionKey, commit: Timestamp) {
         let token = self.last_commits.entry(session).or_insert(commit);
         *token = commit.max(*token);
     }
 
-    /// Whether there are so many that those no longer needed should be removed.
+    /// Whether there are so many tokens that those applied everywhere should be removed.
     pub(super) fn is_full(&self) -> bool {
         self.last_commits.len() > MAX_SESSION_TOKENS
     }
 
-    /// Removes the tokens that every endpoint has applied; `lowest_position` is `None` if there is no
-    /// endpoint.
+    /// Removes the tokens that every endpoint has applied. `lowest_position` is the lowest position of any
+    /// endpoint, or `None` if there is no endpoint; then all are kept.
     pub(super) fn remove_applied(&mut self, lowest_position: Option<Timestamp>) {
         self.last_commits.retain(|_, commit| Some(*commit) > lowest_position);
     }
--- a/crates/routing/src/router/freshness/tests.rs
+++ b/crates/routing/src/router/freshness/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_endpoint_that_rejects_stale_reads_is_tried_once_it_may_have_caught_up() {
+fn an_endpoint_that_rejects_stale_reads_is_eligible_once_it_may_have_caught_up() {
     let mut freshness = replica_at(NOW - ms(100));
     let may_serve = |freshness: &ReplicaFreshness, after| {
         freshness.may_serve(NOW + ms(after), Some(NOW), StaleReadPolicy::Reject)
@@ -30,30 +30,30 @@
     assert!(!may_serve(&freshness, 99));
     assert!(may_serve(&freshness, 100));
     freshness.record_rejected_read(NOW + ms(100), NOW);
-    assert!(!may_serve(&freshness, 1_099), "it rejected such a read");
-    assert!(may_serve(&freshness, 1_100), "but that was long ago");
+    assert!(!may_serve(&freshness, 1_099), "it rejected such a read less than 1 s ago");
+    assert!(may_serve(&freshness, 1_100), "the rejection is 1 s old");
 }
 
 #[test]
-fn a_position_never_goes_back_but_for_a_clock_that_was_ahead() {
+fn a_position_decreases_only_when_the_clock_is_set_back() {
     let mut freshness = replica_at(NOW);
     freshness.observe_report(NOW, NOW - ms(500));
     assert_eq!(freshness.position(), NOW);
-    freshness.limit_position(NOW - ms(200));
+    freshness.cap_position(NOW - ms(200));
     assert_eq!(freshness.position(), NOW - ms(200));
 }
 
 #[test]
-fn a_health_check_is_due_sooner_where_it_may_show_that_the_replica_caught_up() {
+fn a_health_check_is_due_sooner_if_the_replica_may_have_caught_up() {
     let freshness = replica_at(NOW - ms(50));
     let is_due = |required, after| freshness.is_check_due(NOW + ms(after), required, NOW, ms(1_000));
     assert!(!is_due(NOW, 99) && is_due(NOW, 100));
     assert!(!is_due(NOW + ms(10_000), 999) && is_due(NOW + ms(10_000), 1_000));
-    assert!(!is_due(NOW - ms(50), 5_000), "it is known to have caught up");
+    assert!(!is_due(NOW - ms(50), 5_000), "the position is known to be applied");
 }
 
 #[test]
-fn a_session_token_is_the_latest_commit_until_all_endpoints_have_applied_it() {
+fn a_session_token_is_the_latest_commit_and_is_kept_until_all_endpoints_have_applied_it() {
     let (mut tokens, session) = (SessionTokens::default(), SessionKey(1));
     tokens.record_commit(session, NOW);
     tokens.record_commit(session, NOW - ms(10));
--- a/crates/routing/src/router/health_checks.rs
+++ b/crates/routing/src/router/health_checks.rs
@@ -1,16 +1,16 @@
-//! Health checks: the search for a group's primary, and checks of positions.
+//! Sending health checks: for the primary search of a group, and for the log positions of replicas.
 
 use super::Router;
 use super::load_balancing::LISTED_PRIMARY_TIMEOUT;
 use crate::{Action, EndpointId, GroupId, TimeDelta, Timestamp};
 
-/// Any interval will do: the search itself spaces its health checks, and only two at the same moment are
-/// prevented.
+/// The interval between health checks of one endpoint for the primary search. It only prevents two checks at
+/// the same time; the search itself determines the interval between them.
 const MIN_SEARCH_INTERVAL: TimeDelta = TimeDelta(1);
 
 impl Router {
-    /// Searches for a group's primary. A router that knows nothing of the group checks the listed primary
-    /// first, which is seldom wrong.
+    /// Continues the primary search of a group. A router that knows nothing of the group checks the listed
+    /// primary first, since the endpoint list is seldom wrong about it.
     pub(super) fn search_primary(&mut self, now: Timestamp, group: GroupId, actions: &mut Vec<Action>) {
         let view = self.view(now);
         let Some(known_group) = self.endpoints.group(group) else { return };
@@ -24,8 +24,8 @@
         self.send_health_checks(now, &due, MIN_SEARCH_INTERVAL, actions);
     }
 
-    /// Sends health checks to the endpoints that were sent none for `interval`, where health checks are
-    /// allowed.
+    /// Sends health checks to those of the endpoints that were sent none for `interval`, if the settings
+    /// allow health checks.
     pub(super) fn send_health_checks(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/router/in_flight.rs
+++ b/crates/routing/src/router/in_flight.rs
@@ -1,5 +1,5 @@
-//! The work of an endpoint for this router: attempts in flight, and attempts that were abandoned while they
-//! may run.
+//! The outstanding work of an endpoint for this router: attempts in flight, and abandoned attempts that the
+//! endpoint may still work on.
 
 #[cfg(test)]
 mod tests;
@@ -8,48 +8,50 @@
 use crate::{AttemptNumber, ClassId, RequestId, SessionKey, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// After how many times the time in which an attempt becomes overdue its endpoint counts as silent.
+/// An endpoint counts as silent if an attempt is unanswered for this multiple of the time after which it is
+/// overdue.
 const SILENCE_FACTOR: f64 = 2.0;
-/// What an attempt in flight counts for in the load at most, as a multiple of a usual response.
+/// The largest weight of an attempt in flight in the load of its endpoint; its weight is its age as a
+/// multiple of the mean latency.
 const MAX_ATTEMPT_LOAD: f64 = 4.0;
 
-/// An attempt, among all those of a router.
+/// Identifies an attempt among all those of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub(super) request: RequestId,
-    /// Which of its attempts.
+    /// The number of the attempt among those of its request.
     pub(super) number: AttemptNumber,
 }
 
-/// An attempt in flight, as its endpoint's work sees it.
+/// What is kept of an attempt in flight until it completes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlightAttempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(super) sent_at: Timestamp,
-    /// The class of its request.
+    /// The class of the request.
     pub(super) class: ClassId,
-    /// The session of its request.
+    /// The session of the request.
     pub(super) session: Option<SessionKey>,
-    /// The log position that the endpoint must have applied to serve it.
+    /// The log position that the endpoint must have applied to serve the request.
     pub(super) required_position: Option<Timestamp>,
 }
 
 impl InFlightAttempt {
-    fn is_silent(&self, now: Timestamp, latency: &LatencyEstimates) -> bool {
-        let patience = latency.of(self.class).overdue_after().mul_f64(SILENCE_FACTOR);
-        now - self.sent_at > patience
+    fn is_long_overdue(&self, now: Timestamp, latency: &LatencyEstimates) -> bool {
+        let silent_after = latency.of(self.class).overdue_after().mul_f64(SILENCE_FACTOR);
+        now - self.sent_at > silent_after
     }
 }
 
-/// The work of an endpoint.
+/// The attempts of this router that an endpoint works on.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointWork {
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    /// When abandoned attempts are finished by the usual latency.
+    /// For each abandoned attempt, when the endpoint should finish it by the usual latency.
     abandoned_until: Vec<Timestamp>,
     last_response_at: Timestamp,
-    /// When the latest of the successful attempts was sent.
+    /// When the attempt was sent that is the latest sent of the successful ones.
     latest_success_sent_at: Timestamp,
 }
 
@@ -65,28 +67,28 @@
 }
 
 impl EndpointWork {
-    /// Adds an attempt.
+    /// Adds an attempt that is sent.
     pub(super) fn start(&mut self, id: AttemptId, attempt: InFlightAttempt) {
         self.in_flight.insert(id, attempt);
     }
 
-    /// Removes an attempt.
+    /// Removes an attempt that completed.
     pub(super) fn finish(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         self.in_flight.remove(&id)
     }
 
-    /// Records that an attempt was given up, which does not stop the endpoint's work on it.
+    /// Records that an attempt was abandoned. The endpoint still works on it for the time `remaining`.
     pub(super) fn record_abandoned(&mut self, now: Timestamp, remaining: TimeDelta) {
         self.abandoned_until.retain(|done_at| now < *done_at);
         self.abandoned_until.push(now + remaining);
     }
 
-    /// Records a response of any kind.
+    /// Records that the endpoint responded to an attempt, with a success or an error.
     pub(super) fn record_response(&mut self, now: Timestamp) {
         self.last_response_at = now;
     }
 
-    /// Records the success of an attempt sent at `sent_at`.
+    /// Records the success of an attempt that was sent at `sent_at`.
     pub(super) fn record_success(&mut self, sent_at: Timestamp) {
         self.latest_success_sent_at = self.latest_success_sent_at.max(sent_at);
     }
@@ -96,18 +98,18 @@
         self.in_flight.is_empty()
     }
 
-    /// Whether any response came after `time`.
+    /// Whether the endpoint responded to any attempt after `time`.
     pub(super) fn has_responded_since(&self, time: Timestamp) -> bool {
         self.last_response_at > time
     }
 
-    /// Whether an attempt is in flight for far too long, and no response came since it was sent.
+    /// Whether an attempt is long overdue and the endpoint has responded to nothing since it was sent.
     pub(super) fn is_silent(&self, now: Timestamp, latency: &LatencyEstimates) -> bool {
         let unanswered = |attempt: &InFlightAttempt| attempt.sent_at > self.last_response_at;
-        self.in_flight.values().any(|attempt| unanswered(attempt) && attempt.is_silent(now, latency))
+        self.in_flight.values().any(|attempt| unanswered(attempt) && attempt.is_long_overdue(now, latency))
     }
 
-    /// Whether an attempt is in flight for far too long although a later one was answered.
+    /// Whether an attempt is long overdue although one that was sent later succeeded.
     pub(super) fn was_overtaken(
         &self,
         attempt: &InFlightAttempt,
@@ -117,11 +119,12 @@
         attempt.sent_at < self.latest_success_sent_at && self.is_lost(attempt, now, latency)
     }
 
-    /// Whether an attempt is in flight for far too long, and either a later one was answered or nothing was
-    /// since. Otherwise it may still be waiting for its turn.
+    /// Whether an attempt is long overdue and the endpoint no longer works on it: one that was sent later
+    /// succeeded, or the endpoint has responded to nothing since. Otherwise the attempt may still be queued
+    /// at the endpoint.
     fn is_lost(&self, attempt: &InFlightAttempt, now: Timestamp, latency: &LatencyEstimates) -> bool {
         let overtaken = attempt.sent_at < self.latest_success_sent_at;
-        attempt.is_silent(now, latency) && (overtaken || attempt.sent_at > self.last_response_at)
+        attempt.is_long_overdue(now, latency) && (overtaken || attempt.sent_at > self.last_response_at)
     }
 
     /// The number of attempts in flight that are not lost.
@@ -133,12 +136,13 @@
         self.abandoned_until.iter().filter(|done_at| now < **done_at).count() as f64
     }
 
-    /// The number of attempts that the endpoint works on: those not lost, and those abandoned.
+    /// The number of attempts that the endpoint works on: those in flight that are not lost, and those
+    /// abandoned.
     pub(super) fn total(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
         self.live(now, latency) + self.abandoned(now)
     }
 
-    /// The work, in which an attempt counts for more the longer it is in flight.
+    /// The outstanding work plus 1, in which an attempt in flight has a higher weight the older it is.
     pub(super) fn weighted(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
         let weight = |attempt: &InFlightAttempt| {
             latency.of(attempt.class).relative(now - attempt.sent_at).clamp(1.0, MAX_ATTEMPT_LOAD)
--- a/crates/routing/src/router/in_flight/tests.rs
+++ b/crates/routing/src/router/in_flight/tests.rs
@@ -3,8 +3,8 @@
 use crate::{AttemptNumber, ClassId, RequestId, TimeDelta, Timestamp};
 
 const NOW: Timestamp = Timestamp(5_000_000);
-/// Longer than any attempt of the class takes before it is overdue, which is 600 ms.
-const LONG: TimeDelta = TimeDelta::from_millis(700);
+/// An age at which an attempt of the class is long overdue, which it is after 600 ms.
+const LONG_OVERDUE: TimeDelta = TimeDelta::from_millis(700);
 
 fn id(request: u64) -> AttemptId {
     AttemptId { request: RequestId(request), number: AttemptNumber(0) }
@@ -15,30 +15,30 @@
 }
 
 #[test]
-fn an_endpoint_is_silent_while_an_overdue_attempt_is_its_latest_sign() {
+fn an_endpoint_is_silent_if_it_responds_to_nothing_after_an_attempt_that_is_long_overdue() {
     let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
     assert!(!work.is_silent(NOW + TimeDelta::from_millis(600), &latency));
-    assert!(work.is_silent(NOW + LONG, &latency));
+    assert!(work.is_silent(NOW + LONG_OVERDUE, &latency));
     work.record_response(NOW + TimeDelta::from_millis(1));
-    assert!(!work.is_silent(NOW + LONG, &latency), "it has responded to something since");
+    assert!(!work.is_silent(NOW + LONG_OVERDUE, &latency), "it has responded since");
 }
 
 #[test]
-fn a_lost_attempt_is_no_work() {
+fn a_lost_attempt_does_not_count_as_work() {
     let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
     assert_eq!(work.total(NOW, &latency), 1.0);
-    assert_eq!(work.total(NOW + LONG, &latency), 0.0, "nothing came since it was sent");
+    assert_eq!(work.total(NOW + LONG_OVERDUE, &latency), 0.0, "no response came since it was sent");
     work.record_response(NOW + TimeDelta::from_millis(1));
-    assert_eq!(work.total(NOW + LONG, &latency), 1.0, "it may be waiting for its turn");
+    assert_eq!(work.total(NOW + LONG_OVERDUE, &latency), 1.0, "it may still be queued at the endpoint");
     work.record_success(NOW + TimeDelta::from_millis(2));
-    assert!(work.was_overtaken(&attempt(NOW), NOW + LONG, &latency));
-    assert_eq!(work.total(NOW + LONG, &latency), 0.0, "a later attempt was answered");
+    assert!(work.was_overtaken(&attempt(NOW), NOW + LONG_OVERDUE, &latency));
+    assert_eq!(work.total(NOW + LONG_OVERDUE, &latency), 0.0, "a later attempt succeeded");
 }
 
 #[test]
-fn an_abandoned_attempt_is_work_until_it_is_finished_by_the_usual_latency_of_one_class() {
+fn an_abandoned_attempt_counts_as_work_until_its_remaining_time_has_passed() {
     let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
     assert!(work.finish(id(1)).is_some() && work.is_idle());
--- a/crates/routing/src/router/latency/tests.rs
+++ b/crates/routing/src/router/latency/tests.rs
@@ -5,7 +5,7 @@
 const CLASS: ClassId = ClassId(0);
 
 #[test]
-fn the_first_guess_comes_from_the_objective() {
+fn the_initial_estimate_is_derived_from_the_latency_objective() {
     let estimates = latency_of_one_class();
     assert_eq!(estimates.of(CLASS).mean(), Microseconds(100_000.0));
     assert_eq!(estimates.of(CLASS).quantile_bound(2.0), TimeDelta::from_millis(200));
@@ -20,11 +20,14 @@
     let typical = estimates.of(CLASS).typical();
     assert!((typical - TimeDelta::from_millis(20)).0.abs() < 100, "{typical:?}");
     let bound = estimates.of(CLASS).quantile_bound(4.0);
-    assert!(bound < TimeDelta::from_millis(21), "equal latencies leave no deviation: {bound:?}");
+    assert!(
+        bound < TimeDelta::from_millis(21),
+        "the mean deviation of equal latencies approaches zero: {bound:?}"
+    );
 }
 
 #[test]
-fn slowness_is_bounded_and_forgotten() {
+fn slowness_is_bounded_and_decays_to_one() {
     let (estimates, mut slowness, now) = (latency_of_one_class(), Slowness::default(), Timestamp(1_000_000));
     for _ in 0..100 {
         slowness.observe(now, TimeDelta::from_millis(60_000), estimates.of(CLASS));
--- a/crates/routing/src/router/outlier_detection/tests.rs
+++ b/crates/routing/src/router/outlier_detection/tests.rs
@@ -4,7 +4,7 @@
 const NOW: Timestamp = Timestamp(5_000_000);
 
 #[test]
-fn one_refused_connection_ejects_and_one_lost_response_does_not() {
+fn one_refused_connection_ejects_an_endpoint_and_one_lost_response_does_not() {
     let mut refused = FailureScore::default();
     assert!(refused.record_failure(NOW, Failure::NoConnection));
     assert!(refused.is_ejected(NOW) && refused.is_on_probation());
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_ejection_in_a_row_lasts_twice_as_long_up_to_a_bound() {
+fn each_consecutive_ejection_lasts_twice_as_long_up_to_a_bound() {
     let (mut failures, mut now, mut durations) = (FailureScore::default(), NOW, Vec::new());
     for _ in 0..7 {
         assert!(failures.record_failure(now, Failure::NoConnection));
--- a/crates/routing/src/router/overload.rs
+++ b/crates/routing/src/router/overload.rs
@@ -1,23 +1,23 @@
-//! The overload ratio of a group's primary and of its replicas: the fraction of responses that were late or
-//! were rejections. It measures the load of all routers together, which the few responses of one endpoint do
-//! not show.
+//! The overload ratios of a group's primary and of its replicas: the fraction of responses that were late or
+//! were rejections. They measure the load of all routers together, for which a single endpoint has too few
+//! responses.
 
 use super::decaying::DecayingRatio;
 use crate::{Role, TimeDelta, Timestamp};
 
-/// The ratio from which load is shed.
+/// Load shedding starts above this overload ratio.
 pub(super) const SHEDDING_START: f64 = 0.35;
-/// The ratio at which shedding is complete.
+/// Load shedding reaches its full extent at this overload ratio.
 pub(super) const SHEDDING_COMPLETE: f64 = 0.7;
-/// The ratio from which some requests are hopeless and reads are kept from the primary; 0.35 lost 0.02 of the
-/// result.
+/// Above this overload ratio, new reads with too little time left are rejected and reads are kept off the
+/// primary. A threshold of 0.35 costs 0.02 of the measured result.
 pub(super) const SEVERE_OVERLOAD: f64 = 0.525;
-/// How long responses count.
+/// The time in which the weight of a response in the ratios decays by a factor of e.
 pub(super) const OVERLOAD_MEMORY: TimeDelta = TimeDelta::from_millis(3_000);
-/// The ratio of an idle fleet.
+/// The overload ratio that is assumed without any responses.
 const IDLE_RATIO: f64 = 0.2;
 
-/// Late responses and rejections among all responses, by the role of the endpoint.
+/// The fraction of late responses and rejections among recent responses, by the role of the endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OverloadRatios {
     replicas: DecayingRatio,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds responses; `late` and `total` may be fractions.
+    /// Adds a sample to the ratio of a role.
     pub(super) fn add(&mut self, now: Timestamp, role: Role, sample: OverloadSample) {
         let ratio = match role {
             Role::Replica => &mut self.replicas,
@@ -41,18 +41,20 @@
         ratio.add(now, OVERLOAD_MEMORY, sample.late, sample.total);
     }
 
-    /// The ratio over all groups.
+    /// The overload ratio of a role over all groups. Meant for the counts of all groups together.
     pub(super) fn fleet_ratio(&self, now: Timestamp, role: Role) -> f64 {
         self.of(role).estimate(now, OVERLOAD_MEMORY, IDLE_RATIO)
     }
 
-    /// The ratio of a group; the less is known of it, the closer it is to the ratio over all groups.
+    /// The overload ratio of a role in one group. Meant for the counts of that group: the fewer responses
+    /// there are, the closer it is to the ratio over all groups.
     pub(super) fn group_ratio(&self, now: Timestamp, role: Role, fleet_ratio: f64) -> f64 {
         self.of(role).estimate(now, OVERLOAD_MEMORY, fleet_ratio)
     }
 }
 
-/// What an outcome shows of the load.
+/// The contribution of one outcome to an overload ratio: a number of responses, and how many of them count as
+/// late. Both may be fractions.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OverloadSample {
     late: f64,
@@ -60,12 +62,13 @@
 }
 
 impl OverloadSample {
-    /// A response, or a rejection.
+    /// A response or a rejection, which counts in full.
     pub(super) fn response(is_late: bool) -> Self {
         Self { late: f64::from(u8::from(is_late)), total: 1.0 }
     }
 
-    /// A lost response. Among timely responses it shows no overload, among late ones it does.
+    /// A lost response. It counts as late, but only to the extent that the endpoints are overloaded: among
+    /// timely responses, a loss has another cause.
     pub(super) fn lost_response(overload: f64) -> Self {
         Self { late: overload, total: overload }
     }
--- a/crates/routing/src/router/primary/tests.rs
+++ b/crates/routing/src/router/primary/tests.rs
@@ -21,19 +21,19 @@
 }
 
 #[test]
-fn only_the_believed_primary_can_be_disproved() {
+fn only_evidence_against_the_believed_primary_replaces_it() {
     let mut primary = GroupPrimary::default();
     primary.believe(endpoint("a"));
     primary.disprove(&endpoint("b"), Some(endpoint("c")));
     assert_eq!(primary.believed(), Some(&endpoint("a")));
     primary.disprove(&endpoint("a"), None);
-    assert_eq!(primary.believed(), Some(&endpoint("a")), "there is no other");
+    assert_eq!(primary.believed(), Some(&endpoint("a")), "there is no other endpoint to believe");
     primary.disprove(&endpoint("a"), Some(endpoint("b")));
     assert_eq!(primary.believed(), Some(&endpoint("b")));
 }
 
 #[test]
-fn an_endpoint_that_left_the_group_is_not_believed_to_be_its_primary() {
+fn an_endpoint_that_left_the_group_is_no_longer_its_believed_primary() {
     let mut primary = GroupPrimary::default();
     primary.believe(endpoint("a"));
     primary.remove_endpoint(&endpoint("b"));
--- a/crates/routing/src/router/read_trials/tests.rs
+++ b/crates/routing/src/router/read_trials/tests.rs
@@ -1,6 +1,6 @@
 use super::{MAX_INTERVAL, ReadTrials};
 
-/// How many reads it is passed over for until it takes one.
+/// The number of reads for which the endpoint is passed over until a trial read is due.
 fn reads_until_due(trials: &mut ReadTrials) -> u32 {
     let mut count = 0;
     while !trials.is_due() {
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn an_endpoint_that_stays_slow_is_tried_ever_less_often_and_one_that_recovers_at_once() {
+fn the_interval_doubles_while_the_endpoint_stays_slow_and_is_reset_when_it_recovers() {
     let mut trials = ReadTrials::default();
     let mut intervals = Vec::new();
     for _ in 0..6 {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn failures_of_an_endpoint_in_service_leave_the_interval() {
+fn failures_of_an_endpoint_that_is_not_passed_over_leave_the_interval() {
     let mut trials = ReadTrials::default();
     for _ in 0..10 {
         trials.record_failure();
--- a/crates/routing/src/router/retry_budget.rs
+++ b/crates/routing/src/router/retry_budget.rs
@@ -1,18 +1,19 @@
-//! Budgets of additional work: retries and hedges, and health checks for the positions of replicas.
+//! The budgets of requests beyond those of the clients: retries and hedges, and health checks of log
+//! positions.
 
 #[cfg(test)]
 mod tests;
 
-/// The retries that each request adds to the budget.
+/// The number of retries or hedges that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// The retries that may be saved up.
+/// The largest number of retries or hedges that the budget holds.
 const MAX_RETRIES: f64 = 10.0;
-/// What health checks may cost, in points of the result.
-const HEALTH_CHECK_PRICE: f64 = 0.02;
-/// The health checks that may be saved up.
+/// How much health checks may take off the measured result of the service.
+const MAX_HEALTH_CHECK_COST: f64 = 0.02;
+/// The largest number of health checks that the budget holds.
 const MAX_HEALTH_CHECKS: f64 = 10.0;
 
-/// The retries and hedges that may be sent.
+/// The retry budget: each token permits one retry or hedge.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
     tokens: f64,
@@ -25,23 +26,23 @@
 }
 
 impl RetryBudget {
-    /// A request has arrived.
+    /// Records the arrival of a request, which adds to the budget.
     pub(super) fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Whether a retry may be sent.
+    /// Whether the budget permits a retry or a hedge.
     pub(super) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// A retry is sent. One that may not be left out is sent without a token if need be, and leaves no debt.
+    /// Records that a retry or a hedge is sent. One that must be sent without a token leaves no debt.
     pub(super) fn withdraw(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 }
 
-/// The health checks for positions that may be sent.
+/// The health-check budget: each token permits one health check of a replica's log position.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HealthCheckBudget {
     tokens: f64,
@@ -54,23 +55,24 @@
 }
 
 impl HealthCheckBudget {
-    /// A request has arrived, where one health check per request costs this much of the result.
+    /// Records the arrival of a request, which adds to the budget. `health_check_cost` is how much one health
+    /// check per request takes off the measured result.
     pub(super) fn deposit(&mut self, health_check_cost: f64) {
-        let affordable = HEALTH_CHECK_PRICE / health_check_cost.max(f64::EPSILON);
+        let affordable = MAX_HEALTH_CHECK_COST / health_check_cost.max(f64::EPSILON);
         self.tokens = (self.tokens + affordable).min(MAX_HEALTH_CHECKS);
     }
 
-    /// Whether there are plenty.
+    /// Whether the budget is at least half full.
     pub(super) fn is_ample(&self) -> bool {
         self.tokens >= MAX_HEALTH_CHECKS / 2.0
     }
 
-    /// The number that may be sent.
+    /// The number of health checks that may be sent.
     pub(super) fn available(&self) -> usize {
         self.tokens as usize
     }
 
-    /// So many are sent, no more than were available.
+    /// Records that health checks are sent. There must have been at least `count` available.
     pub(super) fn withdraw(&mut self, count: usize) {
         self.tokens -= count as f64;
     }
--- a/crates/routing/src/router/retry_budget/tests.rs
+++ b/crates/routing/src/router/retry_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::{HealthCheckBudget, RetryBudget};
 
 #[test]
-fn ten_requests_pay_for_one_retry() {
+fn ten_requests_add_one_retry_to_the_budget() {
     let mut budget = RetryBudget::default();
     budget.withdraw();
     assert!(!budget.has_token());
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn saved_retries_are_bounded_and_leave_no_debt() {
+fn the_retry_budget_is_bounded_and_never_in_debt() {
     let mut budget = RetryBudget::default();
     (0..1_000).for_each(|_| budget.deposit());
     let retries = (0..100).take_while(|_| {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn expensive_health_checks_are_earned_slowly() {
+fn the_budget_of_expensive_health_checks_grows_slowly() {
     let mut budget = HealthCheckBudget::default();
     assert!(budget.is_ample());
     budget.withdraw(budget.available());
@@ -36,5 +36,5 @@
     (0..2).for_each(|_| budget.deposit(0.2));
     assert_eq!(budget.available(), 1);
     budget.deposit(0.0);
-    assert_eq!(budget.available(), 10, "free ones are not limited by it");
+    assert_eq!(budget.available(), 10, "health checks without cost are not limited by the deposits");
 }
--- a/crates/routing/src/router/slow_start.rs
+++ b/crates/routing/src/router/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: what an endpoint that has just started may be sent, so that all routers together do not
-//! overload it.
+//! Slow start: a token bucket limits the requests to an endpoint that has just started, so that all routers
+//! together do not overload it while it warms up.
 
 #[cfg(test)]
 mod tests;
@@ -8,25 +8,27 @@
 use super::fleet_clock::FleetClock;
 use crate::{Settings, TimeDelta, Timestamp};
 
-/// The time whose tokens may be saved up.
+/// The bucket holds the tokens that accrue in this time, and one more.
 const TOKEN_BURST: TimeDelta = TimeDelta::from_millis(100);
-/// What an endpoint is able to serve, as a multiple of what it does serve while there is no overload. How
-/// busy an endpoint is remains unknown.
+/// The assumed capacity of an endpoint without overload, as a multiple of the throughput it is seen to have.
+/// The utilization of an endpoint is unknown.
 const CAPACITY_HEADROOM: f64 = 1.2;
-/// What all routers together may send a warming endpoint in one overload window although nothing is known of
-/// its capacity. The endpoint survives three, and without any there would be no responses to learn from.
+/// The number of requests that all routers together may send a warming endpoint in one overload window even
+/// if nothing is known of its capacity. An endpoint survives three, and without any there would be no
+/// responses from which to estimate its capacity.
 const MIN_REQUESTS_PER_WINDOW: f64 = 1.5;
-/// The lowest warm-up fraction.
+/// The lowest capacity fraction of a warming endpoint, whatever the settings say.
 const MIN_FRACTION: f64 = 0.01;
-/// How long responses count for the throughput.
+/// The time in which the weight of a response in the throughput decays by a factor of e.
 const THROUGHPUT_MEMORY: TimeDelta = TimeDelta::from_millis(7_000);
-/// The shortest time since its first response that the throughput of a router is estimated from.
+/// The shortest time over which the throughput is averaged, even if the first response came later.
 const MIN_OBSERVATION: TimeDelta = TimeDelta::from_millis(3_000);
 
-/// The responses of all endpoints to this router.
+/// The successful responses of all endpoints to this router, from which the capacity of one is estimated.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Throughput {
     responses: DecayingCount,
+    /// When the first successful response came; `i64::MAX` before that.
     first_response_at: Timestamp,
 }
 
@@ -37,13 +39,14 @@
 }
 
 impl Throughput {
-    /// Records a success.
+    /// Records a successful response.
     pub(super) fn record_success(&mut self, now: Timestamp) {
         self.responses.increment(now, THROUGHPUT_MEMORY);
         self.first_response_at = self.first_response_at.min(now);
     }
 
-    /// What one of `in_service` endpoints is able to serve for this router, by what it does serve.
+    /// The estimated capacity of one of `in_service` endpoints for the requests of this router, from the
+    /// throughput of all of them.
     pub(super) fn capacity_per_endpoint(
         &self,
         now: Timestamp,
@@ -59,12 +62,13 @@
     }
 }
 
-/// Requests per microsecond.
+/// A rate in requests per microsecond.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestRate(f64);
 
 impl RequestRate {
-    /// What this router may send a warming endpoint of this capacity.
+    /// The rate at which this router may send requests to a warming endpoint, where a warm one has `capacity`
+    /// and this one has `fraction` of it.
     fn of_warming_endpoint(capacity: Self, fraction: f64, settings: &Settings) -> Self {
         let window = settings.overload_window.0.max(1) as f64;
         let least = MIN_REQUESTS_PER_WINDOW / window / f64::from(settings.router_count);
@@ -76,7 +80,7 @@
     }
 }
 
-/// The tokens of an endpoint, each of which allows to send it one request while it warms up.
+/// The slow-start tokens of an endpoint, each of which permits one request while the endpoint warms up.
 #[derive(Clone, Copy, Debug, Default)]
 struct TokenBalance {
     tokens: f64,
@@ -86,17 +90,19 @@
 /// The warm-up of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WarmUp {
-    /// When it last started by the endpoint list, on the fleet's clock.
+    /// The latest start in the endpoint list, on the fleet clock.
     listed_start: Option<Timestamp>,
-    /// When it last started, on the router's clock; `None` for long ago.
+    /// The latest start, on the router's clock; `None` if the endpoint started long ago.
     started_at: Option<Timestamp>,
-    /// `started_at` is when the list reported the start, since the clock was not confirmed then.
-    is_start_presumed: bool,
+    /// `started_at` is the time at which the list reported the start, because the fleet clock was not
+    /// confirmed.
+    is_start_provisional: bool,
     balance: TokenBalance,
 }
 
 impl WarmUp {
-    /// The fraction of its capacity that the endpoint has.
+    /// The fraction of its capacity that the endpoint has at `now`, which grows linearly over the slow-start
+    /// window from the floor in the settings to 1.
     pub(super) fn fraction(&self, now: Timestamp, settings: &Settings) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let window = settings.slow_start_window.0.max(1) as f64;
@@ -105,30 +111,32 @@
         fraction.clamp(floor.clamp(MIN_FRACTION, 1.0), 1.0)
     }
 
-    /// The tokens of this router, where a warm endpoint has this capacity.
+    /// The slow-start tokens that this router has for the endpoint, where a warm endpoint has this capacity.
     pub(super) fn tokens(&self, now: Timestamp, capacity: RequestRate, settings: &Settings) -> f64 {
-        // The overload is counted over a window: what matters is how warm the endpoint was when the window
-        // began.
+        // An endpoint fails if it is overloaded over a whole window, so its capacity at the start of the
+        // window counts.
         let fraction = self.fraction(now - settings.overload_window, settings);
         let rate = RequestRate::of_warming_endpoint(capacity, fraction, settings);
         let earned = rate.over(now - self.balance.updated_at);
         (self.balance.tokens + earned).min(1.0 + rate.over(TOKEN_BURST))
     }
 
-    /// Spends one of the `available` tokens. Requests sent without one, to a warm endpoint, leave no debt.
+    /// Spends one of the `available` tokens. A request sent without one, because the endpoint is warm, leaves
+    /// no debt.
     pub(super) fn spend_token(&mut self, now: Timestamp, available: f64) {
         self.balance = TokenBalance { tokens: (available - 1.0).max(0.0), updated_at: now };
     }
 
-    /// The endpoint started at `started_at`, on the router's clock, and this router has so many tokens.
+    /// Records that the endpoint started at `started_at`, on the router's clock, and sets the tokens of this
+    /// router.
     pub(super) fn restart(&mut self, now: Timestamp, started_at: Timestamp, tokens: f64) {
         self.started_at = Some(started_at);
-        self.is_start_presumed = false;
+        self.is_start_provisional = false;
         self.balance = TokenBalance { tokens, updated_at: now };
     }
 
-    /// Records the start that the endpoint list shows, and returns whether it is a new one. With `is_recent`,
-    /// the list reported it as a change, so it was a moment ago; how long ago, only a confirmed clock shows.
+    /// Records the start time in the endpoint list, and returns whether it is a new start. A start that the
+    /// list reported as a change was recent; until the fleet clock is confirmed, it is taken to be now.
     pub(super) fn observe_listed_start(
         &mut self,
         now: Timestamp,
@@ -139,22 +147,22 @@
             return false;
         }
         self.listed_start = Some(start.fleet_time);
-        let is_presumed = !clock.is_confirmed() && start.is_recent;
-        let started_at = if is_presumed { now } else { clock.to_router_time(start.fleet_time).min(now) };
+        let is_provisional = !clock.is_confirmed() && start.is_recent;
+        let started_at = if is_provisional { now } else { clock.to_router_time(start.fleet_time).min(now) };
         if !self.is_later_start(started_at) {
             return false;
         }
         self.restart(now, started_at, start.initial_tokens);
-        self.is_start_presumed = is_presumed;
+        self.is_start_provisional = is_provisional;
         true
     }
 
-    /// Dates the listed start anew after the clock was confirmed or corrected, and returns whether that makes
-    /// it a new one.
-    pub(super) fn redate_listed_start(&mut self, now: Timestamp, clock: &FleetClock) -> bool {
+    /// Converts the listed start to the router's clock again after the fleet clock was confirmed or
+    /// corrected, and returns whether that makes it a new start.
+    pub(super) fn recompute_listed_start(&mut self, now: Timestamp, clock: &FleetClock) -> bool {
         let Some(listed_start) = self.listed_start else { return false };
         let started_at = clock.to_router_time(listed_start).min(now);
-        if std::mem::take(&mut self.is_start_presumed) {
+        if std::mem::take(&mut self.is_start_provisional) {
             self.started_at = Some(started_at);
             return false;
         }
@@ -170,14 +178,14 @@
     }
 }
 
-/// A start that the endpoint list shows.
+/// A start of an endpoint by the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedStart {
-    /// When, on the fleet's clock.
+    /// The time of the start, on the fleet clock.
     pub(super) fleet_time: Timestamp,
-    /// It was reported as a change of the list, not in the first snapshot.
+    /// The start was reported as a change of the list, not by the first update after the router started.
     pub(super) is_recent: bool,
-    /// The tokens that this router has at the start. They are drawn at random, so that many routers with less
-    /// than one token each add up to the endpoint's budget.
+    /// The tokens of this router at the start, from 0 to 1. They are drawn at random, so that many routers,
+    /// each with a share of less than one request, together send what the endpoint can take.
     pub(super) initial_tokens: f64,
 }
