--- a/crates/routing/src/router/freshness.rs
+++ b/crates/routing/src/router/freshness.rs
@@ -111,7 +111,8 @@
 
     /// Whether another health check is due to learn whether the endpoint has reached a position. The last
     /// check was at `health_checked_at`. If the endpoint may have caught up since it was last observed, the
-    /// next one is due after [`CAUGHT_UP_CHECK_INTERVAL`], else after `interval`.
+    /// next one is due after [`CAUGHT_UP_CHECK_INTERVAL`], else after `interval`. None is due for a position
+    /// that is known to be applied.
     pub(super) fn is_check_due(
         &self,
         now: Timestamp,
--- a/crates/routing/src/router/in_flight.rs
+++ b/crates/routing/src/router/in_flight.rs
@@ -83,7 +83,7 @@
         self.abandoned_until.push(now + remaining);
     }
 
-    /// Records that the endpoint responded to an attempt, with a success or an error.
+    /// Records a response to an attempt, other than a rejection for lack of capacity.
     pub(super) fn record_response(&mut self, now: Timestamp) {
         self.last_response_at = now;
     }
--- a/crates/routing/tests/router/endpoints.rs
+++ b/crates/routing/tests/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints known, and what is kept of them.
+//! Known endpoints and groups, and the state that is kept for them.
 
 use crate::support::*;
 
@@ -7,7 +7,7 @@
     let mut host = TestHost::with_primary(settings());
     host.set_lifecycle(1, Lifecycle::Removed);
     host.report(Event::EndpointUpdate(EndpointUpdate::Evicted(vec![endpoint_id(1), endpoint_id(9)])));
-    // An active endpoint is not forgotten, whatever the eviction names.
+    // An active endpoint is not evicted, even if the update names it.
     host.report(Event::EndpointUpdate(EndpointUpdate::Evicted(vec![endpoint_id(2)])));
     let (_, actions) = host.request(EVENTUAL_READ);
     assert!(!sent_to(&actions).contains(&endpoint_id(1)) && !sent_to(&actions).is_empty());
@@ -36,7 +36,7 @@
     assert!(sent_to(&actions).is_empty());
     assert!(
         rejection(&host.advance(400), id).is_some(),
-        "a group without endpoints still answers its requests"
+        "a request for a group without endpoints is still rejected"
     );
     host.complete_attempt(RequestId(999), 7, 9, AttemptOutcome::Ok);
     host.report(Event::RequestAbandoned(RequestId(999)));
@@ -56,36 +56,39 @@
 #[test]
 fn groups_without_endpoints_leave_no_state() {
     let mut host = TestHost::with_primary(settings());
-    for at in 0..1_000 {
+    for index in 0..1_000 {
         let request = Request {
-            id: RequestId(1_000_000 + at),
-            class: [BOUNDED_READ, PLAIN_WRITE][at as usize % 2],
+            id: RequestId(1_000_000 + index),
+            class: [BOUNDED_READ, PLAIN_WRITE][index as usize % 2],
             tenant: None,
             session: None,
             time_remaining: TimeDelta::from_millis(200),
-            group: GroupId(770_000 + at as i64),
+            group: GroupId(770_000 + index as i64),
             since_last_write: None,
             expected_work: None,
         };
         host.report(Event::Request(request));
     }
     host.advance(400);
-    assert!(!format!("{:?}", host.router).contains("GroupId(770"), "forgotten with the last of its requests");
-    assert_eq!(sent_to(&host.request(PLAIN_WRITE).1), [endpoint_id(1)], "and the others are still known");
+    assert!(
+        !format!("{:?}", host.router).contains("GroupId(770"),
+        "a group without endpoints is removed with its last request"
+    );
+    assert_eq!(sent_to(&host.request(PLAIN_WRITE).1), [endpoint_id(1)], "other groups are kept");
 }
 
 #[test]
-fn an_endpoint_that_changes_its_group_receives_nothing_for_the_old_one() {
+fn an_endpoint_that_changes_its_group_receives_no_requests_of_its_previous_group() {
     let mut host = TestHost::new(settings(), 2);
     let (id, actions) = host.request(EVENTUAL_READ);
-    let at = first_or_second(&actions);
-    let moved = EndpointEntry { group: GroupId(7), ..endpoint_entry(at) };
+    let number = first_or_second(&actions);
+    let moved = EndpointEntry { group: GroupId(7), ..endpoint_entry(number) };
     host.update_endpoints(vec![moved]);
     assert!(
-        !host.router.still_eligible(host.now, id, &endpoint_id(at)),
-        "nor a request that waits for its connection"
+        !host.router.still_eligible(host.now, id, &endpoint_id(number)),
+        "a request that waits for its connection is not sent either"
     );
     for _ in 0..20 {
-        assert!(!sent_to(&host.request(EVENTUAL_READ).1).contains(&endpoint_id(at)));
+        assert!(!sent_to(&host.request(EVENTUAL_READ).1).contains(&endpoint_id(number)));
     }
 }
--- a/crates/routing/tests/router/freshness.rs
+++ b/crates/routing/tests/router/freshness.rs
@@ -1,11 +1,12 @@
-//! How fresh the data must be that a read may see.
+//! The eligibility of endpoints for reads by the freshness of their data.
 
 use crate::support::*;
 
 #[test]
-fn a_former_primary_that_answers_as_a_replica_counts_as_one() {
-    // Seen in simulation: two writes were in flight at a primary when it hung. A health check still showed it as the
-    // primary; then the writes came back from it as from a replica, and a read went there for data too old.
+fn a_former_primary_that_responds_as_a_replica_counts_as_one() {
+    // Guards against a stale read after a primary hangs with writes in flight: a health check still shows it
+    // as the primary, then the late responses to the writes show a replica, whose data is too old for the
+    // read.
     let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
     let (write, _) = host.request(PLAIN_WRITE);
     let sent = host.now;
@@ -23,8 +24,8 @@
 }
 
 #[test]
-fn a_session_sees_its_abandoned_write() {
-    // Seen in simulation: a client left a few milliseconds after the commit, came back, and read older data.
+fn the_reads_of_a_session_include_its_abandoned_write() {
+    // Guards against a stale read by a client that leaves a few milliseconds after its commit and returns.
     for outcome in [AttemptOutcome::Cancelled, AttemptOutcome::Timeout, AttemptOutcome::ConnectionReset] {
         let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
         host.complete_health_check(2, Role::Replica, 10);
@@ -37,11 +38,14 @@
         for _ in 0..8 {
             let (_, actions) = host.request_in_session(SESSION_READ, 7);
             let to = sent_to(&actions);
-            assert!(to.iter().all(|to| *to == endpoint_id(1)), "{outcome:?}: {to:?} may not have it yet");
+            assert!(
+                to.iter().all(|to| *to == endpoint_id(1)),
+                "{outcome:?}: {to:?} may not have applied the write yet"
+            );
         }
         let (_, actions) = host.request_in_session(SESSION_READ, 8);
         assert_eq!(sent_to(&actions).len(), 1, "another session has written nothing");
-        // A replica that is shown to be past it is eligible.
+        // A replica that has reported a position past the write is eligible.
         host.complete_health_check(2, Role::Replica, 0);
         let (_, actions) = host.request_in_session(SESSION_READ, 7);
         assert_eq!(sent_to(&actions), [endpoint_id(2)], "{outcome:?}");
@@ -55,33 +59,39 @@
     let (read, actions) = host.request(BOUNDED_READ);
     assert_eq!(sent_to(&actions), [endpoint_id(2)]);
     host.advance_clock(390);
-    assert!(host.router.still_eligible(host.now, read, &endpoint_id(2)), "990 ms old, where 1,000 will do");
+    assert!(
+        host.router.still_eligible(host.now, read, &endpoint_id(2)),
+        "990 ms old, where 1,000 ms are allowed"
+    );
     host.advance_clock(20);
     assert!(!host.router.still_eligible(host.now, read, &endpoint_id(2)));
     assert!(host.router.still_eligible(host.now, read, &endpoint_id(1)), "a primary is always up to date");
     host.complete_health_check(2, Role::Replica, 0);
     assert!(host.router.still_eligible(host.now, read, &endpoint_id(2)));
     host.complete_attempt(read, 0, 2, AttemptOutcome::Ok);
-    assert!(!host.router.still_eligible(host.now, read, &endpoint_id(2)), "over");
+    assert!(
+        !host.router.still_eligible(host.now, read, &endpoint_id(2)),
+        "the request has its final response"
+    );
     let (write, _) = host.request(PLAIN_WRITE);
     assert!(host.router.still_eligible(host.now, write, &endpoint_id(3)), "a write needs no position");
 }
 
 #[test]
-fn bounded_reads_need_a_known_position_where_endpoints_do_not_check() {
+fn bounded_reads_need_a_known_position_where_endpoints_serve_stale_reads() {
     let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
     let (_, actions) = host.request(BOUNDED_READ);
     assert!(sent_to(&actions).is_empty(), "nothing is known of any endpoint");
     assert_eq!(health_checked(&actions).len(), 3);
     assert!(
         health_checked(&host.request(BOUNDED_READ).1).is_empty(),
-        "at most one health check for each bound"
+        "at most one health check in the time of the bound"
     );
     host.advance_clock(2);
     let actions = host.complete_health_check(2, Role::Replica, 10);
     assert_eq!(sent_to(&actions), [endpoint_id(2), endpoint_id(2)]);
     host.complete_health_check(3, Role::Replica, 5_000);
-    assert_eq!(sent_to(&host.request(BOUNDED_READ).1), [endpoint_id(2)], "endpoint 3 is shown to lag");
+    assert_eq!(sent_to(&host.request(BOUNDED_READ).1), [endpoint_id(2)], "endpoint 3 is known to lag");
 }
 
 #[test]
@@ -92,7 +102,7 @@
 }
 
 #[test]
-fn endpoints_of_unknown_position_are_eligible_where_they_check() {
+fn endpoints_of_unknown_position_are_eligible_where_they_reject_stale_reads() {
     let mut host = TestHost::new(settings(), 3);
     assert_eq!(sent_to(&host.request(BOUNDED_READ).1).len(), 1);
 }
@@ -113,7 +123,7 @@
 }
 
 #[test]
-fn a_session_read_follows_its_remembered_write() {
+fn a_session_read_goes_to_an_endpoint_known_to_have_applied_the_write_of_its_session() {
     let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
     host.complete_health_check(1, Role::Primary, 0);
     host.complete_health_check(2, Role::Replica, 50);
@@ -124,7 +134,7 @@
     assert_eq!(
         sent_to(&host.request_in_session(SESSION_READ, 9).1),
         [endpoint_id(1)],
-        "endpoint 2 has not shown the write"
+        "endpoint 2 is not known to have applied the write"
     );
     assert_eq!(
         sent_to(&host.request_in_session(SESSION_READ, 8).1).len(),
@@ -137,7 +147,7 @@
 }
 
 #[test]
-fn a_session_token_in_the_request_is_met_by_position() {
+fn a_session_token_in_the_request_is_compared_with_the_positions_of_endpoints() {
     let settings = Settings {
         stale_read_policy: StaleReadPolicy::Serve,
         session_token_source: SessionTokenSource::Request,
--- a/crates/routing/tests/router/primary.rs
+++ b/crates/routing/tests/router/primary.rs
@@ -3,8 +3,9 @@
 use crate::support::*;
 
 #[test]
-fn a_write_that_was_not_sent_says_nothing_about_the_primary() {
-    // A host short of descriptors sends nothing at all; the search would have moved on from a healthy primary.
+fn a_write_that_was_not_sent_is_no_evidence_against_the_primary() {
+    // Guards against a search that moves on from a healthy primary: a host that is short of file descriptors
+    // sends nothing at all.
     let mut host = TestHost::with_primary(settings());
     let (id, _) = host.request(PLAIN_WRITE);
     assert_eq!(sent_to(&host.complete_attempt(id, 0, 1, AttemptOutcome::NotSent)), [endpoint_id(1)]);
@@ -12,14 +13,14 @@
 }
 
 #[test]
-fn a_connection_lost_before_send_neither_cools_nor_replaces_the_primary() {
+fn a_connection_lost_before_send_neither_makes_the_primary_cold_nor_replaces_it() {
     let mut host = TestHost::with_primary(settings());
     let (id, actions) = host.request(PLAIN_WRITE);
     assert_eq!(sent_to(&actions), [endpoint_id(1)]);
     let actions = host.complete_attempt(id, 0, 1, AttemptOutcome::ConnectionLostBeforeSend);
     assert_eq!(sent_to(&actions), [endpoint_id(1)], "retried there at once");
     host.complete_attempt_as(id, 1, 1, AttemptOutcome::Ok, Role::Primary);
-    // It is not taken for cold: a burst of writes goes through.
+    // The primary does not count as cold: a burst of writes is sent.
     let burst: Vec<_> = (0..3).map(|_| host.request(PLAIN_WRITE).1).collect();
     assert!(burst.iter().all(|actions| sent_to(actions) == [endpoint_id(1)]), "{burst:?}");
 }
@@ -38,40 +39,42 @@
             elapsed: TimeDelta::from_millis(250),
             ..completion(lost, 0, 1, AttemptOutcome::ConnectionRefused)
         }));
-        // It is retried there if others were answered there, and the search begins if not.
+        // The write is retried at endpoint 1 if that has answered another request, else at the next
+        // candidate.
         assert_eq!(sent_to(&actions), [endpoint_id(if answered { 1 } else { 2 })]);
     }
 }
 
 #[test]
-fn a_silent_primary_is_tried_by_one_strong_read_at_a_time() {
-    // Seen in an incident: three writes without a response stopped the whole group until their deadline.
+fn a_silent_primary_is_probed_by_one_strong_read_at_a_time() {
+    // Guards against a standstill: three writes without a response stopped the whole group until their
+    // deadline.
     let mut host = TestHost::with_primary(settings());
     let lost: Vec<_> = (0..3).map(|_| host.request_with_deadline(PLAIN_WRITE, 5_000).0).collect();
     host.advance(1_500);
     let (write, actions) = host.request_with_deadline(PLAIN_WRITE, 3_000);
-    assert!(sent_to(&actions).is_empty(), "a write is not what tries it");
-    let (trial, actions) = host.request(STRONG_READ);
+    assert!(sent_to(&actions).is_empty(), "a write does not probe the primary");
+    let (probe, actions) = host.request(STRONG_READ);
     assert_eq!(sent_to(&actions), [endpoint_id(1)]);
     let (queued, actions) = host.request(STRONG_READ);
-    assert!(sent_to(&actions).is_empty(), "one at a time");
-    let actions = host.complete_attempt_as(trial, 0, 1, AttemptOutcome::Ok, Role::Primary);
+    assert!(sent_to(&actions).is_empty(), "one probe at a time");
+    let actions = host.complete_attempt_as(probe, 0, 1, AttemptOutcome::Ok, Role::Primary);
     assert_eq!(
         sent_to(&actions),
         [endpoint_id(1), endpoint_id(1)],
-        "its response shows that the endpoint is alive"
+        "the response to the probe shows that the endpoint is up"
     );
     host.complete_attempt_as(queued, 0, 1, AttemptOutcome::Ok, Role::Primary);
     host.complete_attempt_as(write, 0, 1, AttemptOutcome::Ok, Role::Primary);
     assert!(
         lost.iter().all(|id| !host.complete_attempt(*id, 0, 1, AttemptOutcome::Timeout).is_empty()),
-        "they fail"
+        "the unanswered writes fail"
     );
 }
 
 #[test]
 fn a_health_check_is_no_evidence_that_requests_are_answered() {
-    // An endpoint that accepts requests and answers none still answers health checks beside its queue.
+    // An endpoint that accepts requests and answers none still answers health checks, which bypass its queue.
     let mut host = TestHost::with_primary(settings());
     let (_, actions) = host.request(PLAIN_WRITE);
     assert_eq!(sent_to(&actions), [endpoint_id(1)]);
@@ -82,20 +85,21 @@
     assert_eq!(
         sent_to(&host.complete_health_check(2, Role::Primary, 0)),
         [endpoint_id(2)],
-        "a primary shown later gets the queued write"
+        "the queued write is sent to the primary that is confirmed later"
     );
 }
 
 #[test]
 fn the_primary_is_searched_for_only_when_it_is_unknown() {
-    // Seen in simulation: reads that found every endpoint at its limit started health checks, though the primary was known.
+    // Guards against unneeded health checks: reads that find every endpoint at its limit must not start a
+    // search while the primary is known.
     let mut host = TestHost::with_primary(settings());
     let checked: usize = (0..200).map(|_| health_checked(&host.request(EVENTUAL_READ).1).len()).sum();
     assert_eq!(checked, 0);
 }
 
 #[test]
-fn a_new_router_searches_the_primary_from_the_lowest_id_and_moves_on_proof() {
+fn a_new_router_searches_the_primary_from_the_lowest_id_and_moves_on_when_one_is_disproved() {
     let mut host = TestHost::new(settings(), 3);
     let (id, actions) = host.request(PLAIN_WRITE);
     assert_eq!(sent_to(&actions), [endpoint_id(1)]);
@@ -124,18 +128,18 @@
     host.list_as_primary(3);
     let (_, actions) = host.request(STRONG_READ);
     assert_eq!(health_checked(&actions), [endpoint_id(3)]);
-    assert!(health_checked(&host.advance(240)).is_empty(), "its response is waited for");
+    assert!(health_checked(&host.advance(240)).is_empty(), "the router waits for its response");
     host.advance_clock(10);
     assert_eq!(
         health_checked(&host.request(STRONG_READ).1).len(),
         5,
-        "it is silent: all are checked, as where the endpoint list is wrong"
+        "no response: all are checked, since the endpoint list may be wrong"
     );
     assert_eq!(sent_to(&host.complete_health_check(4, Role::Primary, 5)), [endpoint_id(4)]);
 }
 
 #[test]
-fn after_one_round_of_the_group_a_write_is_queued_until_the_primary_is_known() {
+fn after_an_attempt_at_each_endpoint_a_write_is_queued_until_the_primary_is_known() {
     let mut host = TestHost::new(settings(), 3);
     let (id, _) = host.request(PLAIN_WRITE);
     host.complete_attempt_as(id, 0, 1, AttemptOutcome::NotEligible, Role::Replica);
@@ -146,9 +150,9 @@
     assert!(sent_to(&waiting).is_empty());
     assert!(!health_checked(&waiting).is_empty(), "the primary is searched for meanwhile");
     let (other, actions) = host.request(KEYED_WRITE);
-    assert!(sent_to(&actions).is_empty(), "the next write waits too");
+    assert!(sent_to(&actions).is_empty(), "the next write is queued too");
     let actions = host.complete_health_check(2, Role::Primary, 1);
-    assert_eq!(sent_to(&actions), [endpoint_id(2), endpoint_id(2)], "both are dispatched, once");
+    assert_eq!(sent_to(&actions), [endpoint_id(2), endpoint_id(2)], "both writes are dispatched, once each");
     assert!(sent_to(&host.advance(100)).is_empty());
     assert!(!is_failed(&host.complete_attempt_as(other, 0, 2, AttemptOutcome::Ok, Role::Primary), other));
 }
--- a/crates/routing/tests/router/slow_start_fleet.rs
+++ b/crates/routing/tests/router/slow_start_fleet.rs
@@ -1,4 +1,4 @@
-//! The budget of a cold endpoint, against what whole fleets of routers send it.
+//! Slow start: simulated fleets of routers stay within the budget of an endpoint that has restarted.
 
 use crate::support::*;
 use rand_chacha::ChaCha8Rng;
@@ -7,36 +7,37 @@
 const ENDPOINTS: usize = 4;
 /// The endpoint that restarts.
 const RESTARTED: usize = 2;
-/// The requests that a warm endpoint can answer in a second.
+/// The capacity of a warm endpoint, in requests per second.
 const CAPACITY: f64 = 60.0;
-const TURN_MS: i64 = 5;
-/// The turns that a request takes.
-const LATENCY_TURNS: i64 = 4;
+const STEP_MS: i64 = 5;
+/// The time that an endpoint takes to answer a request, in simulation steps.
+const LATENCY_STEPS: i64 = 4;
 const RESTART_AFTER_MS: i64 = 12_000;
 const END_AFTER_MS: i64 = 20_000;
 const DEADLINE_MS: i64 = 400;
 const SEED: u64 = 7;
 
-/// What a cold endpoint may receive in one window, by what the settings allow it then.
+/// The budget of a cold endpoint in one overload window: the number of requests that the settings allow, and
+/// a margin for random variation.
 fn budget(allowed: f64) -> f64 {
     if allowed < 30.0 { allowed + 3.0 * allowed.sqrt() + 3.0 } else { allowed + 2.0 * allowed.sqrt() + 2.0 }
 }
 
 /// A request that an endpoint is working on.
 struct InFlight {
-    ends_at_turn: i64,
+    ends_at_step: i64,
     router: usize,
     request: RequestId,
     endpoint: usize,
 }
 
-/// A fleet of routers before a group of endpoints, one of which restarts.
+/// A fleet of routers that share a group of endpoints, one of which restarts.
 struct FleetSimulation {
     hosts: Vec<TestHost>,
     random: ChaCha8Rng,
     in_flight: Vec<InFlight>,
     restarted_at: Option<Timestamp>,
-    /// When the restarted endpoint was sent a request.
+    /// When requests were sent to the restarted endpoint, in order.
     sent_to_restarted: Vec<Timestamp>,
 }
 
@@ -53,17 +54,17 @@
         }
     }
 
-    /// Plays the whole of it, with this part of the group's capacity as load.
-    fn play(&mut self, load: f64) {
-        let arrivals_per_turn = load * CAPACITY * ENDPOINTS as f64 * TURN_MS as f64 / 1_000.0;
-        for turn in 0..(END_AFTER_MS / TURN_MS) {
-            let now = START + TimeDelta::from_millis(turn * TURN_MS);
-            if turn * TURN_MS == RESTART_AFTER_MS {
+    /// Runs the whole simulation. `load` is the arrival rate as a fraction of the group's capacity.
+    fn run(&mut self, load: f64) {
+        let arrivals_per_step = load * CAPACITY * ENDPOINTS as f64 * STEP_MS as f64 / 1_000.0;
+        for step in 0..(END_AFTER_MS / STEP_MS) {
+            let now = START + TimeDelta::from_millis(step * STEP_MS);
+            if step * STEP_MS == RESTART_AFTER_MS {
                 self.restart(now);
             }
-            self.complete_requests(turn, now);
-            for _ in 0..self.arrivals(arrivals_per_turn) {
-                self.send_request(turn, now);
+            self.complete_requests(step, now);
+            for _ in 0..self.arrivals(arrivals_per_step) {
+                self.send_request(step, now);
             }
             for host in &mut self.hosts {
                 host.now = now;
@@ -80,9 +81,9 @@
         }
     }
 
-    fn complete_requests(&mut self, turn: i64, now: Timestamp) {
+    fn complete_requests(&mut self, step: i64, now: Timestamp) {
         let (done, remaining): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.in_flight).into_iter().partition(|of| of.ends_at_turn <= turn);
+            std::mem::take(&mut self.in_flight).into_iter().partition(|request| request.ends_at_step <= step);
         self.in_flight = remaining;
         for InFlight { router, request, endpoint, .. } in done {
             self.hosts[router].now = now;
@@ -90,13 +91,13 @@
         }
     }
 
-    /// How many requests arrive in a turn, this many on average.
+    /// Draws the number of requests that arrive in one step, with the given mean.
     fn arrivals(&mut self, mean: f64) -> usize {
         let one_more = f64::from(self.random.next_u32()) / f64::from(u32::MAX) < mean.fract();
         mean.floor() as usize + usize::from(one_more)
     }
 
-    fn send_request(&mut self, turn: i64, now: Timestamp) {
+    fn send_request(&mut self, step: i64, now: Timestamp) {
         let router = self.random.next_u32() as usize % self.hosts.len();
         self.hosts[router].now = now;
         let (request, actions) = self.hosts[router].request_with_deadline(EVENTUAL_READ, DEADLINE_MS);
@@ -105,43 +106,43 @@
             if self.restarted_at.is_some() && endpoint == RESTARTED {
                 self.sent_to_restarted.push(now);
             }
-            self.in_flight.push(InFlight { ends_at_turn: turn + LATENCY_TURNS, router, request, endpoint });
+            self.in_flight.push(InFlight { ends_at_step: step + LATENCY_STEPS, router, request, endpoint });
         }
     }
 }
 
-/// The part of its budget that the cold endpoint is sent in its fullest window.
-fn fullest_window(routers: usize, load: f64) -> f64 {
+/// The largest fraction of its budget that the cold endpoint is sent in any overload window.
+fn peak_budget_fraction(routers: usize, load: f64) -> f64 {
     let settings = settings();
     let mut simulation = FleetSimulation::new(routers);
-    simulation.play(load);
+    simulation.run(load);
     let (restarted_at, sent) = (simulation.restarted_at.unwrap(), simulation.sent_to_restarted);
     let window = settings.slow_start_window.0 as f64;
     let seconds = settings.overload_window.0 as f64 / 1e6;
     let floor = settings.slow_start_floor;
-    let part = |from: Timestamp| {
-        let warmth = floor + (1.0 - floor) * (from - restarted_at).0 as f64 / window;
+    let budget_fraction = |from: Timestamp| {
+        let capacity_fraction = floor + (1.0 - floor) * (from - restarted_at).0 as f64 / window;
         let count = sent.iter().filter(|at| **at >= from && **at < from + settings.overload_window).count();
-        if warmth >= 1.0 {
+        if capacity_fraction >= 1.0 {
             0.0
         } else {
-            count as f64 / budget(settings.overload_multiple * warmth * CAPACITY * seconds)
+            count as f64 / budget(settings.overload_multiple * capacity_fraction * CAPACITY * seconds)
         }
     };
-    sent.iter().map(|from| part(*from)).fold(0.0, f64::max)
+    sent.iter().map(|from| budget_fraction(*from)).fold(0.0, f64::max)
 }
 
 #[test]
 fn no_fleet_sends_a_cold_endpoint_more_than_its_budget() {
-    let mut over = Vec::new();
+    let mut exceeded = Vec::new();
     for routers in [1, 3, 30, 200] {
         for load in [0.4, 0.67, 0.9, 1.0] {
-            let part = fullest_window(routers, load);
-            println!("{routers} routers at {load}: {part:.2} of the budget");
-            if part > 1.0 {
-                over.push((routers, load, part));
+            let budget_fraction = peak_budget_fraction(routers, load);
+            println!("{routers} routers at load {load}: {budget_fraction:.2} of the budget");
+            if budget_fraction > 1.0 {
+                exceeded.push((routers, load, budget_fraction));
             }
         }
     }
-    assert!(over.is_empty(), "routers, load, part of the budget: {over:?}");
+    assert!(exceeded.is_empty(), "exceeded budgets (routers, load, fraction of the budget): {exceeded:?}");
 }
