--- a/crates/routing/src/router/slow_start.rs
+++ b/crates/routing/src/router/slow_start.rs
@@ -45,19 +45,19 @@
         self.first_response_at = self.first_response_at.min(now);
     }
 
-    /// The estimated capacity of one of `in_service` endpoints for the requests of this router, from the
-    /// throughput of all of them.
+    /// The estimated capacity of one of `active_count` active endpoints for the requests of this router, from
+    /// the throughput of all of them.
     pub(super) fn capacity_per_endpoint(
         &self,
         now: Timestamp,
-        in_service: usize,
+        active_count: usize,
         is_overloaded: bool,
     ) -> RequestRate {
         let observed = (now - self.first_response_at).max(MIN_OBSERVATION).0 as f64;
         let memory = THROUGHPUT_MEMORY.0 as f64;
         let effective_memory = memory * (1.0 - (-observed / memory).exp());
         let responses = self.responses.value(now, THROUGHPUT_MEMORY);
-        let served = responses / effective_memory / in_service.max(1) as f64;
+        let served = responses / effective_memory / active_count.max(1) as f64;
         RequestRate(served * if is_overloaded { 1.0 } else { CAPACITY_HEADROOM })
     }
 }
--- a/crates/routing/tests/router/outlier_ejection.rs
+++ b/crates/routing/tests/router/outlier_ejection.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_request_that_fails_everywhere_ejects_no_endpoint() {
     // Guards against ejecting endpoints for faulty requests: if a third of the requests return an error from
-    // any endpoint, one that was ejected after four errors in a row would soon be.
+    // every endpoint, four such errors in a row must not eject one.
     let mut host = TestHost::new(settings(), 3);
     for _ in 0..60 {
         let (id, mut actions) = host.request(EVENTUAL_READ);
