--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,53 +1,55 @@
-//! What a host does for the router.
+//! Actions that the router requests from its host.
 
 use crate::{AttemptNumber, EndpointId, RequestId, TimeDelta, Timestamp};
 
-/// Something for the host to do. Actions are carried out in the order given.
+/// An operation that the host must perform. The host carries out actions in the order in which the router
+/// appended them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt of a request to an endpoint.
     Send {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Where to send it.
+        /// The endpoint that receives the attempt.
         endpoint: EndpointId,
-        /// How long to wait for its response.
+        /// The maximum time to wait for the response to the attempt.
         timeout: TimeDelta,
     },
-    /// Final response: rejected; the client may safely retry.
+    /// Send the final response "rejected": the client may safely retry the request.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// When the client should retry.
+        /// The delay before the client should retry; `None` if the rejection carries no retry-after.
         retry_after: Option<TimeDelta>,
     },
-    /// Final response: failed; the request may have run.
+    /// Send the final response "failed": the request may have run.
     Fail {
-        /// The request.
+        /// The failed request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: stop waiting for its response.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptNumber,
     },
-    /// Request the load report of an endpoint.
+    /// Send a health check, which requests the load report of an endpoint.
     HealthCheck {
-        /// The endpoint.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Report [`Event::TimerFired`](crate::Event::TimerFired) at this time. It replaces a timer set before.
+    /// Set the router's only timer, replacing the previous one. When the timer fires, the host reports
+    /// [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// When the timer fires.
+        /// The time at which the timer fires.
         at: Timestamp,
     },
-    /// Subscribe to the endpoint list, or poll it.
+    /// Obtain the endpoint list, by a subscription or a poll.
     Subscribe,
-    /// A log line for the operators.
+    /// Write a line to the operators' log.
     Log {
-        /// The text, one line.
+        /// The text of the line, without a line break.
         line: String,
     },
 }
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -1,120 +1,122 @@
-//! What a host reports to the router.
+//! Events that a host reports to the router.
 
 use crate::{
     AttemptNumber, ClassId, EndpointId, GroupId, RequestId, SessionKey, TenantId, TimeDelta, Timestamp,
 };
 
-/// The state of an endpoint in the discovery service.
+/// The lifecycle state of an endpoint in the discovery service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// In service.
+    /// The endpoint is in service.
     #[default]
     Active,
-    /// Completes the work that it has; it must be sent nothing new.
+    /// The endpoint completes the work that it has; new work must not be sent to it.
     Draining,
-    /// Removed from the endpoint list.
+    /// The endpoint was removed from the endpoint list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Its replication group.
+    /// The replication group of the endpoint.
     pub group: GroupId,
-    /// Its lifecycle state.
+    /// The lifecycle state of the endpoint.
     pub lifecycle: Lifecycle,
-    /// Whether the discovery service believes it to be the primary.
+    /// Whether the discovery service believes that the endpoint is the primary of its group.
     pub primary: bool,
-    /// When it last started; `None` for long ago.
+    /// When the endpoint last started; `None` if that was long ago or is unknown.
     pub started_at: Option<Timestamp>,
-    /// Its zone.
+    /// The zone of the endpoint.
     pub zone: String,
 }
 
-/// A change of the endpoint list.
+/// A change of the endpoint list, or a failure to obtain it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The complete list.
+    /// The complete list; endpoints that it lacks are removed.
     Snapshot(Vec<EndpointEntry>),
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta(Vec<EndpointEntry>),
-    /// Polling the list failed, or the subscription was lost.
+    /// The poll of the list failed, or the subscription was lost.
     PollFailed,
-    /// Endpoints that were removed so long ago that nothing needs to be remembered of them.
+    /// Endpoints that were removed so long ago that the router can discard their state.
     Evicted(Vec<EndpointId>),
 }
 
-/// A client's request.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its identifier.
+    /// The identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The request class.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that sent the request, if it is known.
     pub tenant: Option<TenantId>,
-    /// Its session.
+    /// The session of the client, if it has one.
     pub session: Option<SessionKey>,
-    /// The time left until the client gives up.
+    /// The time left until the client stops waiting.
     pub time_remaining: TimeDelta,
-    /// The replication group that holds its data.
+    /// The replication group that holds the requested data.
     pub group: GroupId,
-    /// How long before its arrival its session last committed, where requests carry session tokens.
+    /// The time from the last commit of the session to the arrival of the request, where requests carry
+    /// session tokens.
     pub since_last_write: Option<TimeDelta>,
-    /// The work that it is expected to take, where that is known.
+    /// The expected duration of the work for the request, where it is known.
     pub expected_work: Option<TimeDelta>,
 }
 
 /// The role of an endpoint in its replication group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It accepts writes.
+    /// The endpoint accepts writes.
     Primary,
-    /// It applies the primary's log.
+    /// The endpoint applies the primary's log.
     Replica,
 }
 
-/// What the response to an attempt says of its endpoint.
+/// The role and log position that an endpoint reports in the response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// The role; `None` if the metadata is unreadable.
+    /// The role of the endpoint; `None` if the metadata states no valid role.
     pub role: Option<Role>,
-    /// The log position up to which the endpoint has applied, or for a write the position of its commit;
-    /// `None` where the response has none.
+    /// The log position up to which the endpoint has applied, or the position of the commit if the request
+    /// was a write; `None` if the response has no position.
     pub position: Option<Timestamp>,
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It succeeded.
+    /// The attempt succeeded.
     Ok,
     /// The endpoint returned an error; the request may have run.
     Error,
-    /// The endpoint rejected it for lack of capacity; it never ran.
+    /// The endpoint rejected the request for lack of capacity; the request never ran.
     Rejected,
-    /// No response in time; it may have run.
+    /// No response arrived in time; the request may have run.
     Timeout,
-    /// Nothing listens at the address; it never ran.
+    /// Nothing listens at the address; the request never ran.
     ConnectionRefused,
-    /// Nothing answers at the address, because the endpoint or the path to it is gone; it never ran.
+    /// Connecting timed out, because the endpoint or the network path to it is down; the request never ran.
     ConnectTimeout,
-    /// The connection to a live endpoint broke before the request was sent completely; it never ran.
+    /// The connection to a live endpoint broke before the complete request was sent; the request never ran.
     ConnectionLostBeforeSend,
-    /// The connection broke after the request was sent; it may have run.
+    /// The connection broke after the request was sent; the request may have run.
     ConnectionReset,
-    /// The router cancelled it; it may have run.
+    /// The router cancelled the attempt; the request may have run.
     Cancelled,
-    /// The host did not send it.
+    /// The host did not send the attempt; the request never ran.
     NotSent,
-    /// The endpoint rejected it untouched: it is not the primary, or its data is too old.
+    /// The endpoint rejected the request without running it, because the endpoint is not the primary or its
+    /// data is too old.
     NotEligible,
 }
 
 impl AttemptOutcome {
-    /// Whether the outcome proves that nothing ran.
+    /// Whether the outcome proves that the request never ran on the endpoint.
     #[must_use]
     pub const fn never_ran(self) -> bool {
         matches!(
@@ -132,49 +134,53 @@
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptCompletion {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNumber,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The result of the attempt.
     pub outcome: AttemptOutcome,
-    /// What the response says of the endpoint.
+    /// The role and position that the response reports; `None` if there was no response or no metadata.
     pub metadata: Option<ResponseMetadata>,
-    /// The time since the attempt was sent.
+    /// The time from the sending of the attempt to its end.
     pub elapsed: TimeDelta,
-    /// Whether the client has received its final response.
+    /// Whether the request is closed: the client received its final response, or the host no longer serves
+    /// the request.
     pub request_closed: bool,
-    /// The endpoint's load report, in the order of
-    /// [`Settings::load_report_fields`](crate::Settings::load_report_fields).
+    /// The values of the endpoint's load report, in the order of
+    /// [`Settings::load_report_fields`](crate::Settings::load_report_fields); `None` if there is no report.
     pub load_report: Option<Vec<f64>>,
 }
 
-/// Something that happened.
+/// An event that a host reports to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list changed. The first update after the start is the list cached last, possibly old.
+    /// The endpoint list changed. The first update after a start is the list that was cached last; it may be
+    /// out of date.
     EndpointUpdate(EndpointUpdate),
-    /// A request arrived.
+    /// A client request arrived.
     Request(Request),
-    /// The client left, or the response is overdue.
+    /// The client stopped waiting for the response, or the response is overdue.
     RequestAbandoned(RequestId),
     /// The timer set by [`Action::SetTimer`](crate::Action::SetTimer) fired.
     TimerFired,
-    /// A streamed response has begun; the router is no longer concerned with the request.
+    /// A streamed response began; the router has no further decision to make about the request.
     ResponseStarted(RequestId),
-    /// An attempt ended.
+    /// An attempt of a request ended.
     AttemptCompleted(AttemptCompletion),
     /// A health check ended.
     HealthCheckCompleted {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The result of the health check.
         outcome: AttemptOutcome,
-        /// The time since it was sent.
+        /// The time from the sending of the health check to its end.
         elapsed: TimeDelta,
-        /// The endpoint's load report.
+        /// The values of the endpoint's load report, in the order of
+        /// [`Settings::load_report_fields`](crate::Settings::load_report_fields); `None` if there is no
+        /// report.
         load_report: Option<Vec<f64>>,
     },
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,12 @@
-//! The routing decisions of the pooler, which routes reads and writes over replicated databases.
+//! Routing decisions of the pooler, which routes reads and writes to replicated databases.
 //!
 //! [`Router`] is a pure state machine: the host reports [`Event`]s with the time at which they happened, and
 //! carries out the [`Action`]s that the router appends. [`membership`] resolves the endpoints from the claims
-//! of several sources. Nothing here performs I/O, reads a clock or starts a thread; the same events and seed
-//! give the same actions.
+//! of several sources. This crate performs no I/O, reads no clock and starts no thread; the same events and
+//! seed produce the same actions.
 //!
-//! The hosts are the packages `pooler-proxy`, on real sockets, and `simulator-adapter`; both decode
-//! [`settings`] with the same code. The README has an example, which is tested with the documentation.
+//! The hosts are the packages `pooler-proxy`, which uses real sockets, and `simulator-adapter`; both decode
+//! [`settings`] with the same code. The README contains an example that runs as a documentation test.
 
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
--- a/crates/routing/src/membership/claim.rs
+++ b/crates/routing/src/membership/claim.rs
@@ -1,58 +1,62 @@
-//! What a source claims about an endpoint, and which of two claims of one source is newer.
+//! Claims of sources about endpoints, and the rules by which a claim replaces an earlier one of its source.
 
 use crate::{EndpointId, GroupId, Lifecycle, Timestamp};
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 
-/// A source of claims, in the order in which the host numbers them.
+/// The number that the host assigns to a source of claims. Where several sources provide a value, the source
+/// with the lowest number comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub u8);
 
-/// The registry server that vouches for a record, and the lease under which it does.
+/// The registry server that maintains a record, and the lease of the record there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordAuthority {
-    /// The server, by number.
+    /// The index of the server.
     pub server: usize,
-    /// When the endpoint's lease began, by the server's clock.
+    /// When the endpoint's lease began, in milliseconds on the server's clock.
     pub lease_started_ms: i64,
 }
 
-/// How new a claim is, by what the endpoint said itself and not by when the claim arrived.
+/// The version of a claim, based on data that the endpoint itself provided rather than on the time at which
+/// the claim arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecordVersion {
-    /// When the endpoint last started, where the source tells. A later start outranks any change stamp.
+    /// When the endpoint last started, if the source reports it. A later start takes precedence over any
+    /// change stamp.
     pub started_at: Option<Timestamp>,
-    /// The stamp of the endpoint's last change of itself (Eureka's `lastDirtyTimestamp`, in its own unit), or the number
-    /// of the message where a source's messages come in order.
+    /// The stamp of the last change that the endpoint made to its own record (derived from Eureka's
+    /// `lastDirtyTimestamp`, in its own unit), or the number of the message for a source whose messages
+    /// arrive in order.
     pub change_stamp: i64,
-    /// Who vouches for the record. Of one start and one stamp, the record updated last is newer if both come from one
-    /// authority; `None` is none.
+    /// The authority that maintains the record. Of two records with the same start and stamp, the one updated
+    /// last is newer if both come from the same authority; update times are not compared if this is `None`.
     pub authority: Option<RecordAuthority>,
-    /// When that authority last updated the record, by its own clock.
+    /// When the authority last updated the record, in milliseconds on the authority's clock.
     pub updated_at_ms: i64,
 }
 
-/// How one version of a record compares to another.
+/// The result of comparing one version of a record with another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionOrder {
-    /// It describes something later.
+    /// The version describes a later state of the endpoint than the other.
     Newer,
-    /// It describes the same.
+    /// Both versions describe the same state, as far as they can be compared.
     Same,
-    /// It describes something earlier.
+    /// The version describes an earlier state of the endpoint than the other.
     Older,
 }
 
 impl RecordVersion {
-    /// How `self` compares to `held`.
+    /// Compares `self` with `held`, the version of the current claim of the same source.
     #[must_use]
     pub fn compare(&self, held: &Self) -> VersionOrder {
-        let starts = self.started_at.zip(held.started_at).map(|(new, old)| new.cmp(&old));
-        let stamps = self.change_stamp.cmp(&held.change_stamp);
+        let start_order = self.started_at.zip(held.started_at).map(|(new, old)| new.cmp(&old));
+        let stamp_order = self.change_stamp.cmp(&held.change_stamp);
         let same_authority = self.authority.is_some() && self.authority == held.authority;
-        let updates =
+        let update_order =
             if same_authority { self.updated_at_ms.cmp(&held.updated_at_ms) } else { Ordering::Equal };
-        match starts.unwrap_or(Ordering::Equal).then(stamps).then(updates) {
+        match start_order.unwrap_or(Ordering::Equal).then(stamp_order).then(update_order) {
             Ordering::Greater => VersionOrder::Newer,
             Ordering::Equal => VersionOrder::Same,
             Ordering::Less => VersionOrder::Older,
@@ -60,72 +64,76 @@
     }
 }
 
-/// What a source says of one endpoint.
+/// The claim of a source about one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointClaim {
-    /// The endpoint.
+    /// The endpoint that the claim describes.
     pub endpoint: EndpointId,
-    /// Where it listens; `None` where the source does not tell or could not be read.
+    /// The address on which the endpoint listens; `None` if the source does not provide a valid address.
     pub address: Option<SocketAddr>,
-    /// Its replication group; `None` keeps the one that is known.
+    /// The replication group of the endpoint; `None` keeps the group that is known.
     pub group: Option<GroupId>,
-    /// Its zone.
+    /// The zone of the endpoint; empty if unknown.
     pub zone: String,
-    /// Whether the source believes it to be the primary.
+    /// Whether the source believes that the endpoint is the primary of its group.
     pub primary: bool,
-    /// When it last started; `None` for long ago or not told.
+    /// When the endpoint last started; `None` if that was long ago or is unknown.
     pub started_at: Option<Timestamp>,
-    /// Its lifecycle state.
+    /// The lifecycle state of the endpoint.
     pub lifecycle: Lifecycle,
-    /// How new all this is.
+    /// The version of the claim.
     pub version: RecordVersion,
 }
 
-/// The claim of one source on one endpoint that counts at present.
+/// The claim of one source about one endpoint that is currently in effect.
 #[derive(Clone, Debug)]
 pub(super) struct HeldClaim {
     pub(super) claim: EndpointClaim,
-    /// The version of the snapshot that removed the endpoint by not naming it. Only a newer snapshot or a newer record
-    /// brings the endpoint back.
-    pub(super) absent_from: Option<i64>,
-    /// When the source last reported this.
+    /// The version of the snapshot that removed the endpoint by omitting it. Only a newer snapshot or a newer
+    /// record makes the endpoint active again.
+    pub(super) absent_from_version: Option<i64>,
+    /// When the source last reported this state.
     pub(super) reported_at: Timestamp,
 }
 
-/// What to do with a claim on an endpoint on which the same source has a claim already.
+/// The decision on a new claim about an endpoint for which a claim of the same source is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClaimDecision {
-    /// It replaces the held claim.
+    /// The new claim replaces the held claim.
     Replace,
-    /// It is ignored: the held claim is newer.
+    /// The new claim is ignored, because the held claim is newer.
     IgnoreStale {
-        /// Whether it would have brought back an endpoint that drains or was removed.
+        /// Whether the new claim would have reduced the severity of the endpoint's lifecycle state, such as
+        /// by making a draining endpoint active again.
         revival: bool,
     },
-    /// It is ignored: one registration with two addresses, which is two endpoints under one id as far as can be seen.
+    /// The new claim is ignored: it is the same registration with another address, which indicates two
+    /// endpoints with the same identifier.
     IgnoreConflict,
-    /// It conflicts like that, but asks for more caution: it replaces the held claim, whose address stays.
+    /// The new claim has the same conflict as in [`Self::IgnoreConflict`], but a more severe lifecycle state.
+    /// It replaces the held claim except for the address.
     ReplaceKeepingAddress,
 }
 
 impl HeldClaim {
-    /// What to do with `claim`, which came with the snapshot of this version or with a delta.
+    /// Decides on `claim`, which came with the snapshot of this version, or with a delta if that is `None`.
     pub(super) fn decide(&self, claim: &EndpointClaim, snapshot_version: Option<i64>) -> ClaimDecision {
         let order = claim.version.compare(&self.claim.version);
-        let caution = severity(claim.lifecycle).cmp(&severity(self.claim.lifecycle));
+        let severity_order = severity(claim.lifecycle).cmp(&severity(self.claim.lifecycle));
         let supersedes = match order {
             VersionOrder::Newer => true,
-            // The same registration may only get worse, unless it was merely not named.
-            VersionOrder::Same => caution.is_ge() || self.is_named_again_by(snapshot_version),
+            // Within one registration, the state may only become more severe, unless the endpoint was removed
+            // only by its absence from a snapshot.
+            VersionOrder::Same => severity_order.is_ge() || self.is_named_again_by(snapshot_version),
             VersionOrder::Older => false,
         };
         if !supersedes {
-            return ClaimDecision::IgnoreStale { revival: caution.is_lt() };
+            return ClaimDecision::IgnoreStale { revival: severity_order.is_lt() };
         }
         let conflicts = order == VersionOrder::Same && self.has_other_address(claim);
         if !conflicts {
             ClaimDecision::Replace
-        } else if caution.is_gt() {
+        } else if severity_order.is_gt() {
             ClaimDecision::ReplaceKeepingAddress
         } else {
             ClaimDecision::IgnoreConflict
@@ -133,7 +141,9 @@
     }
 
     fn is_named_again_by(&self, snapshot_version: Option<i64>) -> bool {
-        self.absent_from.zip(snapshot_version).is_some_and(|(absent_from, version)| version > absent_from)
+        self.absent_from_version
+            .zip(snapshot_version)
+            .is_some_and(|(absent_from_version, version)| version > absent_from_version)
     }
 
     fn has_other_address(&self, claim: &EndpointClaim) -> bool {
@@ -141,7 +151,7 @@
     }
 }
 
-/// How much caution a lifecycle state asks for: the greater, the more.
+/// The severity of a lifecycle state. When claims differ, the more severe state takes effect.
 pub(super) fn severity(lifecycle: Lifecycle) -> u8 {
     match lifecycle {
         Lifecycle::Active => 0,
--- a/crates/routing/src/membership/mod.rs
+++ b/crates/routing/src/membership/mod.rs
@@ -1,11 +1,11 @@
-//! Endpoint membership: which endpoints exist and in which state, resolved from what several sources claim.
+//! Endpoint membership: the known endpoints and their states, resolved from the claims of several sources.
 //!
-//! Sources are the platform's endpoint list and a service registry. They lag, contradict one another and lose
-//! records; this module decides what counts, without I/O and without a clock of its own. How versions of a record are
-//! ordered is documented at [`RecordVersion`], and each case of it is tested.
+//! The sources are the platform's endpoint list and a service registry. They lag, contradict each other and
+//! lose records. This module decides which claims take effect, without I/O and without a clock of its own.
+//! [`RecordVersion`] documents the order of the versions of a record; each case of that order is tested.
 //!
-//! The invariant: **an endpoint that was told to drain or was removed stays so until a newer record says otherwise.**
-//! A repeated record, a stale copy or the older view of another registry server is not newer.
+//! Invariant: **an endpoint that is draining or removed stays so until a newer record says otherwise.** A
+//! repeated record, a stale copy or the older view of another registry server is not newer.
 
 mod claim;
 mod resolution;
--- a/crates/routing/src/membership/resolution.rs
+++ b/crates/routing/src/membership/resolution.rs
@@ -1,28 +1,28 @@
-//! Resolving one endpoint from the claims of all sources.
+//! Resolution of one endpoint from the claims of all sources.
 
 use super::claim::{HeldClaim, SourceId, severity};
 use crate::{EndpointEntry, EndpointId, GroupId, Lifecycle, Timestamp};
 use std::net::SocketAddr;
 
-/// An endpoint as a host needs it, resolved from all sources.
+/// The state of an endpoint, resolved from the claims of all sources.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResolvedEndpoint {
-    /// Where it listens.
+    /// The address on which the endpoint listens, if a source provides it.
     pub address: Option<SocketAddr>,
-    /// Its lifecycle state, all sources taken together.
+    /// The lifecycle state of the endpoint, from the claims of all sources together.
     pub lifecycle: Lifecycle,
-    /// Its replication group.
+    /// The replication group of the endpoint.
     pub group: GroupId,
-    /// Its zone.
+    /// The zone of the endpoint; empty if unknown.
     pub zone: String,
-    /// Whether a source believes it to be the primary.
+    /// Whether any source believes that the endpoint is the primary.
     pub primary: bool,
-    /// When it last started.
+    /// The latest start of the endpoint that a source reports.
     pub started_at: Option<Timestamp>,
 }
 
 impl ResolvedEndpoint {
-    /// The entry for the router.
+    /// Converts to the entry of the router's endpoint list.
     pub(super) fn to_entry(&self, endpoint: EndpointId) -> EndpointEntry {
         EndpointEntry {
             endpoint,
@@ -35,9 +35,9 @@
     }
 }
 
-/// The claims of all sources on one endpoint, in the order of the sources.
+/// The claims of all sources about one endpoint, ordered by source.
 ///
-/// There are one or two of them; a map would take up ten times their size.
+/// There are only one or two claims; a map would need ten times their memory.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClaimsBySource(Vec<(SourceId, HeldClaim)>);
 
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Combines the claims: the worst lifecycle state counts, unless another source reports a start after it, since an
-    /// endpoint that started anew is not the one that drained. What only some sources tell comes from the first of
-    /// these.
+    /// Combines the claims. The most severe lifecycle state takes effect, unless another source reports a
+    /// later start, because a restarted endpoint is not the incarnation that was draining. A value that only
+    /// some sources provide comes from the first of these.
     pub(super) fn resolve(&self) -> ResolvedEndpoint {
         let lifecycle =
             self.current().map(|held| held.claim.lifecycle).max_by_key(|lifecycle| severity(*lifecycle));
@@ -78,12 +78,12 @@
         self.0.iter().map(|(_, held)| held)
     }
 
-    /// The claims that no later start contradicts.
+    /// The claims that are not superseded by a later start that another source reports.
     fn current(&self) -> impl Iterator<Item = &HeldClaim> {
         self.all().filter(|held| held.claim.lifecycle == Lifecycle::Active || !self.has_start_after(held))
     }
 
-    /// Whether a source reports the endpoint active since a start that came after `held`.
+    /// Whether a source reports the endpoint as active after a start that is later than `held`.
     fn has_start_after(&self, held: &HeldClaim) -> bool {
         let held_since = held.claim.started_at.unwrap_or(held.reported_at);
         self.all().any(|other| {
--- a/crates/routing/src/membership/self_preservation.rs
+++ b/crates/routing/src/membership/self_preservation.rs
@@ -1,41 +1,41 @@
-//! Self-preservation: a snapshot that suddenly lacks many endpoints is taken for a fault of its source.
+//! Self-preservation: a snapshot that suddenly lacks many endpoints is treated as a fault of its source.
 
 use crate::{EndpointId, TimeDelta, Timestamp};
 
-/// When a snapshot that lacks endpoints is taken for a fault of its source rather than for a smaller fleet. Eureka
-/// gives this name to the same precaution of its servers.
+/// The limits beyond which a snapshot that lacks endpoints is treated as a fault of its source rather than as
+/// a smaller fleet. Eureka servers take the same precaution under this name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SelfPreservation {
-    /// The fraction of a source's active endpoints that one snapshot may lack and still be believed; at 1 only an
-    /// empty snapshot is suspected, over 1 none is.
+    /// The maximum fraction of a source's active endpoints that an accepted snapshot may lack. At 1, only an
+    /// empty snapshot is suspected; above 1, no snapshot is.
     pub max_missing_fraction: f64,
-    /// A suspected loss that lasts this long is believed; `None` never.
+    /// The time after which a suspected loss that persists is accepted; `None` means never.
     pub accept_after: Option<TimeDelta>,
 }
 
-/// A snapshot that was not believed, as it lacked too many active endpoints.
+/// A loss of endpoints that was not accepted, because a snapshot lacked too many active endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspectedLoss {
-    /// How many it lacked.
+    /// The number of active endpoints that the snapshot lacked.
     pub missing: usize,
-    /// Of so many.
+    /// The number of endpoints of the source that were active before the snapshot.
     pub active: usize,
 }
 
-/// How a snapshot compares to the endpoints that its source reported before.
+/// The result of comparing a snapshot with the endpoints that its source reported before.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotCoverage {
-    /// Endpoints, active or draining, that the snapshot should have named and did not.
+    /// The active or draining endpoints that the snapshot should contain but does not.
     pub(super) missing: Vec<EndpointId>,
-    /// How many of these were active.
+    /// The number of missing endpoints that were active.
     pub(super) missing_active: usize,
-    /// How many endpoints were active.
+    /// The number of endpoints of the source that were active.
     pub(super) active: usize,
-    /// Whether the snapshot names no endpoint at all.
+    /// Whether the snapshot contains no endpoints.
     pub(super) is_empty: bool,
 }
 
-/// The self-preservation of one source: its limits, and since when they have been exceeded.
+/// The self-preservation of one source: its limits, and the time since which they have been exceeded.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SnapshotGuard {
     limits: SelfPreservation,
@@ -47,7 +47,7 @@
         Self { limits, suspected_since: None }
     }
 
-    /// Whether a snapshot is suspected, so that the endpoints it lacks stay.
+    /// Returns whether a snapshot is suspected, in which case the endpoints that it lacks are kept.
     pub(super) fn suspects(&mut self, now: Timestamp, coverage: &SnapshotCoverage) -> bool {
         if !self.exceeds_limits(coverage) {
             self.suspected_since = None;
@@ -62,8 +62,8 @@
     }
 
     fn exceeds_limits(&self, coverage: &SnapshotCoverage) -> bool {
-        // A suspicion lasts until all endpoints are named again: a registry that lost its memory fills up one by one,
-        // and at some point lacks few enough.
+        // Suspicion lasts until a snapshot contains all endpoints again. A registry that lost its state
+        // regains its endpoints one by one, and a partial snapshot would otherwise come within the limit.
         let allowed = if self.suspected_since.is_some() { 0.0 } else { self.limits.max_missing_fraction };
         let too_many =
             coverage.missing_active > 0 && coverage.missing_active as f64 > allowed * coverage.active as f64;
--- a/crates/routing/src/membership/table.rs
+++ b/crates/routing/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The membership table: the claims of all sources, and the endpoints that they resolve to.
+//! The membership table: the claims of all sources, and the endpoints resolved from them.
 
 use super::claim::{ClaimDecision, EndpointClaim, HeldClaim, SourceId};
 use super::resolution::{ClaimsBySource, ResolvedEndpoint};
@@ -8,11 +8,11 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most endpoints that are held. A registry whose deltas name ever new ones fills the memory no further; claims on
-/// endpoints that are known already are merged as before.
+/// The maximum number of endpoints in the table, which limits its memory if the deltas of a registry keep
+/// naming new endpoints. Claims about known endpoints are merged even if the table is full.
 pub const MAX_ENDPOINTS: usize = 100_000;
 
-/// What is held of one endpoint.
+/// The claims about one endpoint and their resolution.
 #[derive(Clone, Debug, Default)]
 struct EndpointRecord {
     claims: ClaimsBySource,
@@ -20,18 +20,19 @@
     removed_at: Option<Timestamp>,
 }
 
-/// The endpoints as resolved from all sources.
+/// The table of endpoints, resolved from the claims of all sources.
 #[derive(Debug)]
 pub struct Membership {
     guards: BTreeMap<SourceId, SnapshotGuard>,
     endpoints: BTreeMap<EndpointId, EndpointRecord>,
-    /// The removed endpoints by the time of their removal, so that evicting costs only what it evicts.
+    /// The removed endpoints, ordered by the time of their removal, so that the cost of an eviction depends
+    /// only on the number of evicted endpoints.
     removed: BTreeSet<(Timestamp, EndpointId)>,
     removed_retention: TimeDelta,
     max_removed: usize,
 }
 
-/// A merge in progress: its time, its source, and what it has changed so far.
+/// A merge in progress: its time, its source, and its result so far.
 struct Merge<'r> {
     now: Timestamp,
     source: SourceId,
@@ -39,8 +40,8 @@
 }
 
 impl Membership {
-    /// An empty table. Removed endpoints are remembered for `removed_retention`, and no more than `max_removed` of
-    /// them; a stale claim that arrives later is taken for a new endpoint.
+    /// Creates an empty table, which retains removed endpoints for `removed_retention`, and at most
+    /// `max_removed` of them. A stale claim that arrives after that is treated as a new endpoint.
     #[must_use]
     pub fn new(removed_retention: TimeDelta, max_removed: usize) -> Self {
         Self {
@@ -52,24 +53,24 @@
         }
     }
 
-    /// Sets when a source's snapshots are suspected. Without it all of them are believed.
+    /// Sets the limits beyond which snapshots of a source are suspected. Without limits, all are accepted.
     pub fn set_self_preservation(&mut self, source: SourceId, limits: SelfPreservation) {
         self.guards.insert(source, SnapshotGuard::new(limits));
     }
 
-    /// An endpoint that is known. Removed ones are included for as long as they are remembered.
+    /// Returns a known endpoint. Removed endpoints are known until they are evicted.
     #[must_use]
     pub fn get(&self, endpoint: &EndpointId) -> Option<&ResolvedEndpoint> {
         self.endpoints.get(endpoint).map(|record| &record.resolved)
     }
 
-    /// All known endpoints, in the order of their ids.
+    /// Iterates over all known endpoints in the order of their identifiers.
     pub fn iter(&self) -> impl Iterator<Item = (&EndpointId, &ResolvedEndpoint)> {
         self.endpoints.iter().map(|(id, record)| (id, &record.resolved))
     }
 
-    /// Merges what a source reports. The cost grows with the endpoints that the event names, and for a snapshot with
-    /// those that are known.
+    /// Merges a watch event of a source. The cost grows with the number of endpoints that the event names
+    /// and, for a snapshot, with the number of known endpoints.
     pub fn merge(&mut self, now: Timestamp, source: SourceId, event: WatchEvent) -> MergeResult {
         let mut result = MergeResult::default();
         let mut merge = Merge { now, source, result: &mut result };
@@ -86,7 +87,8 @@
     }
 
     fn merge_snapshot(&mut self, merge: &mut Merge<'_>, claims: Vec<EndpointClaim>, version: i64) {
-        // Compared before the claims are merged: a drain that the snapshot names must not count as a loss.
+        // The snapshot is compared before its claims are merged, so that a drain in the snapshot does not
+        // count as a loss.
         let coverage = self.coverage(merge.source, &claims, version);
         let guard = self.guards.get_mut(&merge.source);
         let suspected = guard.is_some_and(|guard| guard.suspects(merge.now, &coverage));
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Compares the snapshot of this version with the endpoints that its source reported before.
+    /// Compares the claims of a snapshot with the endpoints that its source reported before.
     fn coverage(&self, source: SourceId, claims: &[EndpointClaim], version: i64) -> SnapshotCoverage {
         let named: BTreeSet<&EndpointId> = claims.iter().map(|claim| &claim.endpoint).collect();
         let mut coverage = SnapshotCoverage { is_empty: named.is_empty(), ..SnapshotCoverage::default() };
@@ -122,7 +124,7 @@
         coverage
     }
 
-    /// Merges one claim, from the snapshot of this version or from a delta.
+    /// Merges one claim from the snapshot of this version, or from a delta if that is `None`.
     fn merge_claim(
         &mut self,
         merge: &mut Merge<'_>,
@@ -155,21 +157,21 @@
             claim.address = claim.address.or(held.claim.address);
             claim.group = claim.group.or(held.claim.group);
         }
-        self.hold(merge, HeldClaim { claim, absent_from: None, reported_at: merge.now });
+        self.store_claim(merge, HeldClaim { claim, absent_from_version: None, reported_at: merge.now });
     }
 
-    /// Removes an endpoint that the snapshot of this version does not name.
+    /// Removes an endpoint that is absent from the snapshot of this version.
     fn remove_absent(&mut self, merge: &mut Merge<'_>, endpoint: EndpointId, snapshot_version: i64) {
         let held = self.endpoints.get(&endpoint).and_then(|record| record.claims.get(merge.source));
         let Some(mut held) = held.cloned() else { return };
         held.claim.lifecycle = Lifecycle::Removed;
-        held.absent_from = Some(snapshot_version);
+        held.absent_from_version = Some(snapshot_version);
         held.reported_at = merge.now;
-        self.hold(merge, held);
+        self.store_claim(merge, held);
     }
 
-    /// Stores a source's claim, and records the endpoint as changed if all sources together now resolve differently.
-    fn hold(&mut self, merge: &mut Merge<'_>, held: HeldClaim) {
+    /// Stores the claim of a source, and records the endpoint as changed if its resolution changes.
+    fn store_claim(&mut self, merge: &mut Merge<'_>, held: HeldClaim) {
         let endpoint = held.claim.endpoint.clone();
         let entry = self.endpoints.entry(endpoint.clone());
         let is_new = matches!(entry, Entry::Vacant(_));
@@ -193,7 +195,8 @@
         }
     }
 
-    /// Evicts the endpoints that were removed longest ago, as far as they are too old or too many.
+    /// Evicts the endpoints that were removed longest ago while they exceed the retention time or the maximum
+    /// number.
     fn evict_removed(&mut self, now: Timestamp, result: &mut MergeResult) {
         while let Some((removed_at, _)) = self.removed.first() {
             if now - *removed_at < self.removed_retention && self.removed.len() <= self.max_removed {
--- a/crates/routing/src/membership/watch.rs
+++ b/crates/routing/src/membership/watch.rs
@@ -1,39 +1,40 @@
-//! The changes that a source reports, and what merging one into the membership changed.
+//! Watch events that a source reports, and the result of merging one into the membership.
 
 use super::claim::EndpointClaim;
 use super::self_preservation::SuspectedLoss;
 use crate::{EndpointEntry, EndpointId};
 
-/// A change that a source reports.
+/// A report of a source about its endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// All that the source knows.
+    /// The source's complete list of endpoints.
     Snapshot {
-        /// The endpoints.
+        /// The claims about the endpoints.
         claims: Vec<EndpointClaim>,
-        /// How new the snapshot is, on the scale of [`RecordVersion::change_stamp`]: an endpoint with a later stamp
-        /// that is absent was not known yet, and its absence means nothing.
+        /// The version of the snapshot, on the scale of [`RecordVersion::change_stamp`]. An absent endpoint
+        /// with a later stamp was not known yet when the snapshot was taken, and is not removed.
         ///
         /// [`RecordVersion::change_stamp`]: super::RecordVersion::change_stamp
         version: i64,
     },
-    /// Some endpoints.
+    /// The claims about some endpoints; others are unchanged.
     Delta(Vec<EndpointClaim>),
 }
 
-/// What a watch event changed.
+/// The result of merging a watch event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MergeResult {
-    /// The entries that differ from before, as the router takes them.
+    /// The entries that changed, in the form that the router accepts.
     pub changed: Vec<EndpointEntry>,
-    /// Endpoints that were evicted.
+    /// The removed endpoints that were evicted from the table.
     pub evicted: Vec<EndpointId>,
-    /// Claims that were ignored since what is held is newer.
+    /// The number of claims that were ignored, because the held claim is newer or the table is full.
     pub stale_claims: usize,
-    /// Of those, claims that would have brought back an endpoint that drains or was removed.
+    /// The number of stale claims that would have reverted a drain or a removal.
     pub rejected_revivals: usize,
-    /// Claims of one registration with two addresses: two endpoints under one id.
+    /// The number of claims that have another address than the held claim of the same registration, which
+    /// indicates two endpoints with the same identifier.
     pub address_conflicts: usize,
-    /// A snapshot that was not believed.
+    /// The loss of endpoints that was not accepted, if the event is a suspected snapshot.
     pub suspected_loss: Option<SuspectedLoss>,
 }
--- a/crates/routing/src/primary_search.rs
+++ b/crates/routing/src/primary_search.rs
@@ -1,46 +1,48 @@
-//! The search for a replication group's new primary: which endpoints to health-check, and how often.
+//! Search for the new primary of a replication group: which endpoints to health-check, and how often.
 //!
-//! It performs no I/O, reads no clock and draws no random numbers. The router calls it while a group has no
-//! known primary, and still chooses, retries and rejects by itself.
+//! The search performs no I/O, reads no clock and draws no random numbers. The router calls it while a group
+//! has no known primary; endpoint selection, retries and rejections remain with the router.
 //!
-//! While a group has no primary, the log positions of its endpoints stand still, and the replica with the
-//! most complete log is promoted. So the search alternates between two patterns. In a *round*, all endpoints
-//! are checked, which shows their positions. Between rounds, only the *promotion candidates* are checked,
-//! those whose position no other endpoint exceeds. This finds a new primary within about one interval of its
-//! promotion, for fewer health checks than rounds alone. The search only decides what to check: an endpoint
-//! that reports being the primary is believed even if it was no promotion candidate.
+//! While a group has no primary, the log positions of its endpoints do not advance, and the replica with the
+//! most complete log is promoted. The search therefore uses two patterns. In a *round*, it checks all
+//! endpoints to learn their positions. Between rounds, it checks only the *promotion candidates*, the
+//! replicas whose position no other replica exceeds. This finds a new primary within about one interval of
+//! its promotion, with fewer health checks than rounds alone would need. The search only selects the
+//! endpoints to check: an endpoint that reports being the primary is believed even if it was not a promotion
+//! candidate.
 
 use crate::{EndpointId, TimeDelta, Timestamp};
 
-/// The health checks per second that a search may cost an endpoint, over all routers, while there are no more
-/// routers than this: under 1% of the capacity of an endpoint with four cores. More routers check once a
-/// second each.
+/// The maximum rate of health checks that an endpoint receives from all routers together, as long as there
+/// are no more routers than this number. It is under 1% of the capacity of an endpoint with four cores. If
+/// there are more routers, each of them checks once a second.
 const MAX_HEALTH_CHECKS_PER_SECOND: f64 = 100.0;
-/// The shortest interval between two checks of one endpoint; load reports are refreshed no more often.
+/// The shortest interval between two checks of one endpoint; load reports are not refreshed more often.
 const MIN_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// The longest interval between two checks of a promotion candidate, however many routers there are.
+/// The longest interval between two checks of a promotion candidate, for any number of routers.
 const MAX_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
-/// The delay between the first two rounds.
+/// The delay between the first and the second round.
 const INITIAL_ROUND_DELAY: TimeDelta = TimeDelta::from_millis(100);
-/// By what factor the delay grows from round to round.
+/// The factor by which the delay between rounds grows after each round.
 const ROUND_DELAY_GROWTH: f64 = 1.6;
-/// The longest delay between two rounds. A search that was not continued for longer starts over.
+/// The longest delay between two rounds. A search that is not continued for longer than this starts over.
 const MAX_ROUND_DELAY: TimeDelta = TimeDelta::from_millis(1_000);
-/// Positions this close count as equal, since they were reported at different moments.
+/// Positions that differ by no more than this count as equal, because they were reported at different times.
 const POSITION_TOLERANCE: TimeDelta = TimeDelta::from_millis(2);
-/// If more endpoints than this share the highest position, none of them is preferred.
+/// The largest number of promotion candidates. If more replicas share the highest position, there are none.
 const MAX_PROMOTION_CANDIDATES: usize = 3;
 
-/// What the search needs to know of an endpoint.
+/// An endpoint of the group that the search may health-check.
 #[derive(Clone, Copy, Debug)]
 pub struct SearchTarget<'a> {
-    /// The endpoint.
+    /// The identifier of the endpoint.
     pub endpoint: &'a EndpointId,
-    /// The log position up to which it is known to have applied.
+    /// The log position up to which the endpoint is known to have applied.
     pub position: Timestamp,
-    /// When its last health check was sent.
+    /// When the last health check of the endpoint was sent.
     pub health_checked_at: Timestamp,
-    /// Whether it was the primary last. It takes part in the rounds, but is no promotion candidate.
+    /// Whether the endpoint was last known as the primary. Rounds include such an endpoint, but it is never a
+    /// promotion candidate.
     pub was_primary: bool,
 }
 
@@ -50,7 +52,7 @@
     next_round_at: Timestamp,
     round_delay: TimeDelta,
     last_continued_at: Timestamp,
-    /// Whether a round was sent since the search started, so that positions are known.
+    /// Whether the search has sent a round since it started. Before that, positions are not known.
     positions_requested: bool,
 }
 
@@ -66,15 +68,15 @@
 }
 
 impl PrimarySearch {
-    /// The interval between two health checks of a promotion candidate by one of `router_count` routers.
+    /// The interval at which each of `router_count` routers health-checks a promotion candidate.
     #[must_use]
     pub fn interval(router_count: u32) -> TimeDelta {
         let interval = f64::from(router_count) / MAX_HEALTH_CHECKS_PER_SECOND * 1e6;
         TimeDelta(interval as i64).max(MIN_INTERVAL).min(MAX_INTERVAL)
     }
 
-    /// Continues the search and returns the endpoints to health-check now. Calls closer together than 10 ms
-    /// gain nothing.
+    /// Continues the search and returns the endpoints to health-check now. Calling this more often than every
+    /// 10 ms has no benefit.
     pub fn next_health_checks(
         &mut self,
         now: Timestamp,
@@ -106,7 +108,8 @@
     }
 }
 
-/// The replicas whose position no other replica exceeds, unless there are too many of them.
+/// The replicas whose position no other replica exceeds, or none if there are more than
+/// [`MAX_PROMOTION_CANDIDATES`].
 fn promotion_candidates<'c, 'a>(targets: &'c [SearchTarget<'a>]) -> Vec<&'c SearchTarget<'a>> {
     let replicas = || targets.iter().filter(|target| !target.was_primary);
     let Some(highest) = replicas().map(|target| target.position).max() else { return Vec::new() };
--- a/crates/routing/src/settings/decode.rs
+++ b/crates/routing/src/settings/decode.rs
@@ -1,7 +1,7 @@
-//! Decodes settings for both hosts. The simulator sends them as key=value pairs; the pooler's configuration holds the
-//! same object as nested JSON, which is flattened to such pairs first.
+//! Decoding of settings for both hosts. The simulator sends settings as key=value pairs; the pooler's
+//! configuration contains the same object as nested JSON, which is flattened to key=value pairs first.
 //!
-//! The keys and words are those of the protocol. They are mapped to this crate's terms here and nowhere else.
+//! The keys and words are those of the protocol. Only this module maps them to the terms of this crate.
 
 use super::{
     Consistency, Discovery, Idempotency, LoadReportField, ObjectiveWeights, Operation, RequestClass,
@@ -11,29 +11,30 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// No setting counts or measures more: as a time, over thirty thousand years.
+/// The largest number that a setting may have. As a time in milliseconds, it is over 30,000 years.
 const MAX_AMOUNT: f64 = 1e15;
 
 type Result<T> = std::result::Result<T, SettingsError>;
 
-/// The duration of so many milliseconds, rounded to the microsecond.
+/// Converts milliseconds to a time difference, rounded to the nearest microsecond.
 #[must_use]
 pub fn duration_from_millis(milliseconds: f64) -> TimeDelta {
     TimeDelta((milliseconds * 1_000.0).round() as i64)
 }
 
-/// Settings as key=value pairs, where the key is the path to the value.
+/// Settings as key=value pairs. A key is the dot-separated path to its value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsMap(BTreeMap<String, String>);
 
 impl SettingsMap {
-    /// Collects the pairs among `words`; words without an equals sign are skipped.
+    /// Collects the key=value pairs among `words`. Words without an equals sign are ignored.
     pub fn from_words<'a>(words: impl Iterator<Item = &'a str>) -> Self {
         let pairs = words.filter_map(|pair| pair.split_once('='));
         Self(pairs.map(|(key, value)| (key.to_owned(), value.to_owned())).collect())
     }
 
-    /// Flattens nested JSON: arrays of plain values are joined by commas, arrays of objects are counted and numbered.
+    /// Flattens nested JSON. The items of an array of scalars are joined with commas. An array of objects is
+    /// stored as its length, under the key `count`, and the fields of each object under its index.
     #[must_use]
     pub fn from_json(value: &Value) -> Self {
         let mut map = Self::default();
@@ -42,26 +43,27 @@
     }
 
     fn flatten(&mut self, path: &str, value: &Value) {
-        let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+        let child_path =
+            |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
         match value {
             Value::Null => {}
             Value::Object(fields) => {
                 for (name, value) in fields {
-                    self.flatten(&below(name), value);
+                    self.flatten(&child_path(name), value);
                 }
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(below("count"), items.len().to_string());
+                self.0.insert(child_path("count"), items.len().to_string());
                 for (index, item) in items.iter().enumerate() {
-                    self.flatten(&below(&index.to_string()), item);
+                    self.flatten(&child_path(&index.to_string()), item);
                 }
             }
             Value::Array(items) => {
-                let items: Vec<String> = items.iter().map(plain_text).collect();
+                let items: Vec<String> = items.iter().map(scalar_text).collect();
                 self.0.insert(path.to_owned(), items.join(","));
             }
             _ => {
-                self.0.insert(path.to_owned(), plain_text(value));
+                self.0.insert(path.to_owned(), scalar_text(value));
             }
         }
     }
@@ -70,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// When a value is missing or unreadable.
+    /// If a value is missing or invalid.
     pub fn settings(&self) -> Result<Settings> {
         Ok(Settings {
             classes: self.classes()?,
@@ -103,20 +105,20 @@
         })
     }
 
-    /// The text at `key`.
+    /// Returns the text of the setting `key`.
     ///
     /// # Errors
     ///
-    /// When there is none.
+    /// If the setting is missing.
     pub fn text(&self, key: &str) -> Result<&str> {
         self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing(key.to_owned()))
     }
 
-    /// The number at `key`.
+    /// Returns the number of the setting `key`.
     ///
     /// # Errors
     ///
-    /// When there is none, or it is not finite.
+    /// If the setting is missing, or its value is not a finite number.
     pub fn number(&self, key: &str) -> Result<f64> {
         let text = self.text(key)?;
         let value: f64 = text
@@ -125,11 +127,11 @@
         if value.is_finite() { Ok(value) } else { Err(SettingsError::NotFinite(key.to_owned())) }
     }
 
-    /// The number at `key`, which can't be negative, nor larger than any amount.
+    /// Returns the number of the setting `key`, which must be between 0 and 10^15.
     ///
     /// # Errors
     ///
-    /// When there is none, or it is out of range.
+    /// If the setting is missing, or its value is not a number in this range.
     pub fn amount(&self, key: &str) -> Result<f64> {
         let value = self.number(key)?;
         if (0.0..=MAX_AMOUNT).contains(&value) {
@@ -138,11 +140,11 @@
         Err(SettingsError::OutOfRange { key: key.to_owned(), value: value.to_string() })
     }
 
-    /// The amount at `key`, or `default` where there is none.
+    /// Returns the same as [`amount`](Self::amount), or `default` if the setting is missing.
     ///
     /// # Errors
     ///
-    /// When it is no amount.
+    /// If the setting is present, and its value is not a number between 0 and 10^15.
     pub fn amount_or(&self, key: &str, default: f64) -> Result<f64> {
         if self.0.contains_key(key) { self.amount(key) } else { Ok(default) }
     }
@@ -241,7 +243,7 @@
     }
 }
 
-/// What a class does, by the protocol's word for it and the bound of its staleness in milliseconds.
+/// Decodes the operation of a class from its word in the protocol and its staleness bound in milliseconds.
 fn operation(word: &str, staleness_bound: Option<&str>) -> Result<Operation> {
     Ok(Operation::Read(match word {
         "mutate" => return Ok(Operation::Write),
@@ -261,7 +263,8 @@
     SettingsError::UnknownWord { key: key.to_owned(), text: word.to_owned() }
 }
 
-/// A plain JSON value as the pairs have it: without the spaces and commas that separate pairs and list items.
-fn plain_text(value: &Value) -> String {
+/// Converts a scalar JSON value to the text of a setting. Spaces and commas, which separate pairs and list
+/// items, become underscores.
+fn scalar_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), |text| text.replace([' ', ','], "_"))
 }
--- a/crates/routing/src/settings/error.rs
+++ b/crates/routing/src/settings/error.rs
@@ -1,51 +1,51 @@
-//! Why settings could not be decoded.
+//! Errors in the decoding of settings.
 
-/// Why settings could not be decoded. The texts name the key as the operator wrote it.
+/// An error in the decoding of settings. The message names the key as it is spelled in the input.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A required setting is absent.
     #[error("setting {0} is missing")]
     Missing(String),
-    /// A number was expected.
-    #[error("setting {key}: '{text}' is no number")]
+    /// The value cannot be parsed as a number.
+    #[error("setting {key}: '{text}' is not a number")]
     NotANumber {
-        /// The key.
+        /// The key of the setting.
         key: String,
-        /// Its value.
+        /// The value as it was given.
         text: String,
     },
-    /// A number is infinite or not a number.
-    #[error("setting {0} is not finite")]
+    /// The value is infinite or NaN.
+    #[error("setting {0} is not a finite number")]
     NotFinite(String),
-    /// A number is negative, or larger than any setting can be.
+    /// The number is negative, or larger than the maximum for any setting.
     #[error("setting {key}: {value} is out of range")]
     OutOfRange {
-        /// The key.
+        /// The key of the setting.
         key: String,
-        /// Its value, as decoded.
+        /// The decoded number.
         value: String,
     },
-    /// A boolean was expected.
+    /// The value is not one of `true`, `false`, `1` and `0`.
     #[error("setting {key}: '{text}' is neither true nor false")]
     NotABoolean {
-        /// The key.
+        /// The key of the setting.
         key: String,
-        /// Its value.
+        /// The value as it was given.
         text: String,
     },
-    /// A word is none of those that the key accepts.
-    #[error("unknown {key} '{text}'")]
+    /// The value is not one of the words that the setting accepts.
+    #[error("setting {key}: unknown value '{text}'")]
     UnknownWord {
-        /// The key.
+        /// The key of the setting.
         key: String,
-        /// Its value.
+        /// The value as it was given.
         text: String,
     },
     /// A list has fewer values than there are request classes.
-    #[error("{0} is too short")]
+    #[error("setting {0} has fewer values than there are request classes")]
     ListTooShort(&'static str),
-    /// The staleness bound of a class is missing or not a number.
-    #[error("{0} is unreadable")]
+    /// The staleness bound of a request class is missing or not a number.
+    #[error("setting {0}: the staleness bound of a request class is missing or not a number")]
     Unreadable(&'static str),
     /// Two request classes have the same name.
     #[error("two classes are named '{0}'")]
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings that a router is started with, and their decoding from either host's form.
+//! Settings that a router is started with, and their decoding from the formats of both hosts.
 
 mod decode;
 mod error;
@@ -8,98 +8,99 @@
 
 use crate::{TimeDelta, Timestamp};
 
-/// Whether repeating a request is safe.
+/// Whether a request is safe to repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It carries an idempotency key, by which the server discards repeats for a limited time.
+    /// The request carries an idempotency key, with which the server discards duplicates for a limited time.
     Keyed,
-    /// It must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// What a class of requests does.
+/// The operation that the requests of a class perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Reads, with a guarantee on how current the data is.
+    /// A read, with a guarantee on the freshness of the data.
     Read(Consistency),
-    /// Writes; only the primary accepts it.
+    /// A write, which only the primary accepts.
     Write,
 }
 
-/// How current the data of a read must be.
+/// The required freshness of the data that a read returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Any replica may serve it.
+    /// Any replica may serve the read, with data of any age.
     Eventual,
-    /// The data is no older than this when the request is sent.
+    /// The data is no older than this at the time when the request is sent.
     BoundedStaleness(TimeDelta),
-    /// The data includes all that the session has written.
+    /// The data includes all writes of the client's session.
     ReadYourWrites,
-    /// The data includes all that was written before the request arrived.
+    /// The data includes all writes that were committed before the request arrived.
     Strong,
 }
 
-/// A class of requests.
+/// A class of requests that share their semantics, latency objective and weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name, for log lines only.
+    /// The name of the class. The router uses it in log lines only.
     pub name: String,
-    /// Whether repeating it is safe.
+    /// Whether requests of the class are safe to repeat.
     pub idempotency: Idempotency,
-    /// What it does.
+    /// The operation that requests of the class perform.
     pub operation: Operation,
-    /// Answered within this time, a request has its full weight.
+    /// The time within which a response has the full weight of its request.
     pub latency_objective: TimeDelta,
-    /// The objective is extended by this multiple of the request's expected work.
+    /// The multiple of a request's expected work that is added to its latency objective.
     pub objective_stretch: f64,
     /// The weight of one request.
     pub priority_weight: f64,
-    /// The fraction of the weight that a response after the objective still has.
+    /// The fraction of the weight that a response after the latency objective still has.
     pub late_weight: f64,
 }
 
-/// What an endpoint does with a read for which its data is too old.
+/// The behaviour of an endpoint on a read for which its data is too old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleReadPolicy {
-    /// It serves the data that it has.
+    /// The endpoint serves the data that it has.
     Serve,
-    /// It rejects the read untouched, at once or after a wait.
+    /// The endpoint rejects the read without running it, at once or after a wait.
     Reject,
 }
 
-/// Where the session token of a read comes from.
+/// The source of the session token of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTokenSource {
-    /// The request carries how long ago its session last wrote.
+    /// The request carries the time since the last write of its session.
     Request,
-    /// The router remembers the commits that it has seen.
+    /// The router records the commits that it has observed for each session.
     Router,
 }
 
-/// How the endpoint list reaches the router.
+/// The way in which the router receives the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// The discovery service pushes it.
+    /// The discovery service pushes the list.
     Push,
-    /// The host polls it after [`Action::Subscribe`](crate::Action::Subscribe).
+    /// The host polls the list when the router requests it with
+    /// [`Action::Subscribe`](crate::Action::Subscribe).
     Poll,
 }
 
-/// A value of a load report.
+/// The meaning of one value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
-    /// The log position, in seconds after [`Settings::position_epoch`].
+    /// The log position of the endpoint, in seconds after [`Settings::position_epoch`].
     Position,
-    /// 1 from a primary, 0 from a replica.
+    /// The role of the endpoint: 1 for a primary, 0 for a replica.
     Primary,
-    /// Any other value; no decision uses it.
+    /// Any other value, which no routing decision uses.
     Other,
 }
 
 impl LoadReportField {
-    /// The field that load reports give this name.
+    /// Returns the field with this name in the load report protocol.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         match name {
@@ -110,79 +111,82 @@
     }
 }
 
-/// A tenant, whose traffic has a quota.
+/// A tenant, whose requests are subject to a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, for log lines only.
+    /// The name of the tenant. The router uses it in log lines only.
     pub name: String,
-    /// Requests per second within its quota, over all routers.
+    /// The quota in requests per second, over all routers.
     pub quota: f64,
 }
 
-/// The operators' weights of what the service is measured by.
+/// The weights that the operators give to the objectives of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ObjectiveWeights {
-    /// Of all requests together.
+    /// The weight of all requests together.
     pub overall: f64,
-    /// Of the class that is served worst.
+    /// The weight of the request class that is served worst.
     pub worst_class: f64,
 }
 
-/// What a router is started with. It does not change while the router lives.
+/// The settings of a router, which do not change during its lifetime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The request classes, by [`ClassId`](crate::ClassId).
+    /// The request classes, indexed by [`ClassId`](crate::ClassId).
     pub classes: Vec<RequestClass>,
-    /// The tenants, by [`TenantId`](crate::TenantId).
+    /// The tenants, indexed by [`TenantId`](crate::TenantId).
     pub tenants: Vec<Tenant>,
-    /// How many routers share the endpoints.
+    /// The number of routers that share the endpoints.
     pub router_count: u32,
-    /// The zone of this router.
+    /// The zone in which this router runs.
     pub zone: String,
-    /// How the endpoint list arrives.
+    /// The way in which the endpoint list arrives.
     pub discovery: Discovery,
-    /// What endpoints do with a read for which their data is too old.
+    /// The behaviour of endpoints on a read for which their data is too old.
     pub stale_read_policy: StaleReadPolicy,
-    /// Where session tokens come from.
+    /// The source of session tokens.
     pub session_token_source: SessionTokenSource,
-    /// Log position zero of response metadata and load reports, on the host's clock.
+    /// The time on the host's clock of log position zero in response metadata and load reports.
     pub position_epoch: Timestamp,
-    /// What load reports hold, in order.
+    /// The fields of a load report, in order.
     pub load_report_fields: Vec<LoadReportField>,
-    /// The number of attempts that a request may have.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
     /// Whether [`Action::HealthCheck`](crate::Action::HealthCheck) is allowed.
     pub health_checks_allowed: bool,
-    /// What one health check per request would take off the result; 0 where health checks cost nothing.
+    /// The cost of one health check per request, in points deducted from the result; 0 if health checks are
+    /// free.
     pub health_check_cost: f64,
     /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancellation_allowed: bool,
-    /// Whether rejections carry a retry-after.
+    /// Whether rejections may carry a retry-after.
     pub retry_after_allowed: bool,
-    /// The longest retry-after that a client heeds.
+    /// The longest retry-after that clients respect.
     pub max_retry_after: TimeDelta,
-    /// An endpoint is sent nothing new later than this after it was listed as draining or removed.
+    /// The time for which an endpoint may still be sent new work after it was listed as draining or removed.
     pub drain_grace: TimeDelta,
-    /// Only endpoints that were seen draining are subject to the drain rule; removed ones may still be used.
+    /// Whether only endpoints that were seen draining are subject to the drain rule. If so, endpoints that
+    /// were removed without a drain may still be used.
     pub soft_removal: bool,
-    /// The fraction of its capacity that an endpoint has at its start, or more.
+    /// The fraction of its full capacity that an endpoint has at least when it starts.
     pub slow_start_floor: f64,
-    /// How long an endpoint takes to warm up after its start.
+    /// The time that an endpoint takes to warm up after its start.
     pub slow_start_window: TimeDelta,
-    /// A warming endpoint that is sent more than this multiple of its capacity for [`Self::overload_window`] fails.
+    /// The multiple of its current capacity above which a warming endpoint fails if it is sent that much for
+    /// [`Self::overload_window`].
     pub overload_multiple: f64,
-    /// How long a warming endpoint survives an overload.
+    /// The time for which a warming endpoint withstands overload.
     pub overload_window: TimeDelta,
-    /// The weight of requests over their tenant's quota, as a fraction of the usual.
+    /// The weight of requests over their tenant's quota, as a fraction of the regular weight.
     pub over_quota_weight: f64,
-    /// What the operators measure the service by.
+    /// The weights of the objectives by which the operators measure the service.
     pub objective_weights: ObjectiveWeights,
 }
 
 impl Default for Settings {
-    /// The most careful value of every setting: no classes, nothing optional allowed.
+    /// The most conservative value of every setting: no classes, and no optional feature allowed.
     fn default() -> Self {
         Self {
             classes: Vec::new(),
--- a/crates/routing/src/time.rs
+++ b/crates/routing/src/time.rs
@@ -3,13 +3,13 @@
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on the host's monotonic clock, in microseconds since an epoch that the host chooses. It never
-/// goes backwards; only differences between timestamps carry meaning.
+/// A time on the host's monotonic clock, in microseconds since an epoch that the host chooses. The clock
+/// never goes backwards; only differences between timestamps are meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(pub i64);
 
 impl Timestamp {
-    /// Earlier than every event, and still far enough from the limits of `i64` to be subtracted from.
+    /// A timestamp before every event, far enough from the limits of `i64` to be subtracted from.
     pub const DISTANT_PAST: Self = Self(i64::MIN / 4);
 }
 
@@ -18,22 +18,22 @@
 pub struct TimeDelta(pub i64);
 
 impl TimeDelta {
-    /// No time at all.
+    /// A difference of zero microseconds.
     pub const ZERO: Self = Self(0);
 
-    /// A difference of `milliseconds` whole milliseconds, saturating at the limits of `i64`.
+    /// The difference of this many milliseconds, saturating at the limits of `i64` microseconds.
     #[must_use]
     pub const fn from_millis(milliseconds: i64) -> Self {
         Self(milliseconds.saturating_mul(1_000))
     }
 
-    /// The difference as a duration of the standard library; zero for a negative one.
+    /// Converts the difference to a standard library [`Duration`]; a negative difference becomes zero.
     #[must_use]
     pub fn to_duration(self) -> Duration {
         Duration::from_micros(u64::try_from(self.0).unwrap_or(0))
     }
 
-    /// The difference multiplied by `factor`, rounded towards zero. A factor that is not finite counts as
+    /// Multiplies the difference by `factor` and rounds towards zero. An infinite or NaN factor counts as
     /// zero.
     #[must_use]
     pub fn mul_f64(self, factor: f64) -> Self {
@@ -43,7 +43,7 @@
 }
 
 impl From<Duration> for TimeDelta {
-    /// The duration in whole microseconds, saturating at the limit of `i64`.
+    /// Converts to whole microseconds, saturating at `i64::MAX`.
     fn from(duration: Duration) -> Self {
         Self(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
     }
@@ -84,7 +84,7 @@
     }
 }
 
-/// A duration in microseconds with a fractional part, as averages have one.
+/// A duration in microseconds that may have a fractional part, for averages.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(crate) struct Microseconds(pub(crate) f64);
 
