--- a/crates/routing/tests/membership.rs
+++ b/crates/routing/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: every case of the ordering of claims, and the invariants under any order of watch events.
+//! Tests of membership: every case of the order of claims, and the invariants for any order of watch events.
 
 use pooler_routing::membership::{
     EndpointClaim, MAX_ENDPOINTS, Membership, MergeResult, RecordAuthority, RecordVersion, SelfPreservation,
@@ -64,10 +64,10 @@
 
 #[test]
 fn a_claim_replaces_the_held_one_only_if_newer_or_more_severe() {
-    // Each held state against each incoming one, for each order of their versions.
-    let severity = |lifecycle| LIFECYCLES.iter().position(|one| *one == lifecycle);
+    // Every combination of held state, incoming state and order of their versions.
+    let severity = |lifecycle| LIFECYCLES.iter().position(|state| *state == lifecycle);
     let at_least_as_new =
-        [(Some(6), 1, "a later start"), (Some(5), 8, "a later stamp"), (Some(5), 7, "the same")];
+        [(Some(6), 1, "a later start"), (Some(5), 8, "a later stamp"), (Some(5), 7, "the same version")];
     let older = [(Some(5), 6, "an earlier stamp"), (Some(4), 9, "an earlier start")];
     for held in LIFECYCLES {
         for incoming in LIFECYCLES {
@@ -77,7 +77,7 @@
                 let result = merge_delta(&mut membership, 1, vec![claim(1, incoming, started, stamp)]);
                 let expected = match version {
                     "a later start" | "a later stamp" => incoming,
-                    "the same" if severity(incoming) > severity(held) => incoming,
+                    "the same version" if severity(incoming) > severity(held) => incoming,
                     _ => held,
                 };
                 assert_eq!(
@@ -99,16 +99,16 @@
 }
 
 #[test]
-fn an_endpoint_missing_from_a_snapshot_is_removed_until_a_newer_snapshot_names_it() {
+fn an_endpoint_missing_from_a_snapshot_is_removed_until_a_newer_snapshot_contains_it() {
     let mut membership = new_membership();
     merge_snapshot(&mut membership, 0, 30, vec![active(1, 10), active(2, 20), active(3, 30)]);
-    // A server that lags never knew of the third: its absence means nothing.
+    // This snapshot is older than the registration of endpoint 3, and does not remove that endpoint.
     merge_snapshot(&mut membership, 1, 20, vec![active(1, 10), active(2, 20)]);
     assert_eq!(lifecycle(&membership, 3), Some(Lifecycle::Active));
-    // A snapshot newer than the endpoint's own stamp that does not name it removes it.
+    // A snapshot that is newer than the endpoint's change stamp and lacks the endpoint removes it.
     merge_snapshot(&mut membership, 2, 40, vec![active(1, 10), active(2, 20), active(4, 40)]);
     assert_eq!(lifecycle(&membership, 3), Some(Lifecycle::Removed));
-    // An older snapshot, and a delta with the same registration, bring nothing back.
+    // Neither an older snapshot nor a delta with the same registration makes the endpoint active again.
     assert_eq!(
         merge_snapshot(&mut membership, 3, 30, vec![active(1, 10), active(2, 20), active(3, 30)])
             .rejected_revivals,
@@ -118,7 +118,7 @@
     assert_eq!(lifecycle(&membership, 3), Some(Lifecycle::Removed));
     merge_snapshot(&mut membership, 5, 41, vec![active(1, 10), active(2, 20), active(3, 30), active(4, 41)]);
     assert_eq!(lifecycle(&membership, 3), Some(Lifecycle::Active));
-    // An endpoint that a delta deleted comes back only with a new registration.
+    // An endpoint that was deleted by a delta becomes active again only with a new registration.
     merge_delta(&mut membership, 6, vec![claim(3, Lifecycle::Removed, None, 30)]);
     merge_snapshot(&mut membership, 7, 50, vec![active(1, 10), active(2, 20), active(3, 30), active(4, 50)]);
     assert_eq!(lifecycle(&membership, 3), Some(Lifecycle::Removed));
@@ -127,25 +127,26 @@
 }
 
 #[test]
-fn self_preservation_suspects_a_shrunken_snapshot_until_it_persists() {
+fn self_preservation_suspects_a_smaller_snapshot_until_the_loss_persists() {
     let mut membership = new_membership();
     merge_snapshot(&mut membership, 0, 9, (1..=8).map(|number| active(number, 9)).collect());
     let result = merge_snapshot(&mut membership, 1, 9, (1..=3).map(|number| active(number, 9)).collect());
     assert_eq!(
         (result.suspected_loss, result.changed.len()),
         (Some(SuspectedLoss { missing: 5, active: 8 }), 0),
-        "five of eight"
+        "five of eight active endpoints are missing"
     );
     assert_eq!(
         merge_snapshot(&mut membership, 2, 0, Vec::new()).suspected_loss,
         Some(SuspectedLoss { missing: 0, active: 8 }),
-        "an empty snapshot is suspected"
+        "an empty snapshot is suspected although its version is too old to remove endpoints"
     );
     assert_eq!(
         merge_snapshot(&mut membership, 3, 9, Vec::new()).suspected_loss,
         Some(SuspectedLoss { missing: 8, active: 8 })
     );
-    // A registry that fills up again is suspected until it names all; a drain that it names always applies.
+    // A registry that regains its endpoints is suspected until its snapshot contains all of them. A drain in
+    // a suspected snapshot still takes effect.
     let mut named: Vec<EndpointClaim> = (1..=7).map(|number| active(number, 9)).collect();
     named[0] = claim(1, Lifecycle::Draining, None, 9);
     assert_eq!(
@@ -154,14 +155,14 @@
     );
     assert_eq!(lifecycle(&membership, 1), Some(Lifecycle::Draining));
     merge_snapshot(&mut membership, 4, 9, (1..=8).map(|number| active(number, 9)).collect());
-    // From then on a smaller fleet is believed again.
+    // After that, a snapshot within the limit is accepted again.
     assert_eq!(
         merge_snapshot(&mut membership, 4, 9, (1..=5).map(|number| active(number, 9)).collect())
             .suspected_loss,
         None
     );
     assert_eq!(membership.iter().filter(|(_, resolved)| resolved.lifecycle == Lifecycle::Active).count(), 4);
-    // A loss that has been reported for ten seconds is believed.
+    // A loss that has persisted for ten seconds is accepted.
     assert_eq!(
         merge_snapshot(&mut membership, 5, 9, Vec::new()).suspected_loss,
         Some(SuspectedLoss { missing: 4, active: 4 })
@@ -179,7 +180,7 @@
     let mut membership = new_membership();
     merge_snapshot(&mut membership, 0, 9, (1..=4).map(|number| active(number, 9)).collect());
     merge_snapshot(&mut membership, 1, 0, Vec::new());
-    // The endpoints register anew one by one, each with a later stamp.
+    // The endpoints register again one by one, with later stamps.
     for count in 1..=4 {
         merge_snapshot(
             &mut membership,
@@ -189,13 +190,13 @@
         );
         assert!(
             (1..=4).all(|number| lifecycle(&membership, number) == Some(Lifecycle::Active)),
-            "after {count}"
+            "after {count} endpoints have registered again"
         );
     }
 }
 
 #[test]
-fn the_most_severe_source_wins_until_a_later_start_is_reported() {
+fn the_most_severe_claim_takes_effect_until_a_later_start_is_reported() {
     let mut membership = new_membership();
     let merge = |membership: &mut Membership, at_ms: i64, source, claim| {
         membership.merge(Timestamp(at_ms * 1_000), source, WatchEvent::Delta(vec![claim]))
@@ -203,14 +204,14 @@
     merge(&mut membership, 10, PLATFORM, active(1, 1));
     merge(&mut membership, 11, REGISTRY, active(1, 500));
     merge(&mut membership, 12, PLATFORM, claim(1, Lifecycle::Draining, None, 2));
-    // The registry still says UP, even with a later stamp of its own: stamps of two sources don't compare.
+    // The registry still reports UP with a later stamp, but stamps of different sources are not comparable.
     merge(&mut membership, 13, REGISTRY, active(1, 900));
     assert_eq!(lifecycle(&membership, 1), Some(Lifecycle::Draining));
-    // A start after the drain was reported does.
+    // A start after the drain was reported ends the drain.
     merge(&mut membership, 14, REGISTRY, claim(1, Lifecycle::Active, Some(13_500), 901));
     assert_eq!(lifecycle(&membership, 1), Some(Lifecycle::Active));
     merge(&mut membership, 15, REGISTRY, claim(1, Lifecycle::Removed, Some(13_500), 902));
-    assert_eq!(lifecycle(&membership, 1), Some(Lifecycle::Removed), "the most severe");
+    assert_eq!(lifecycle(&membership, 1), Some(Lifecycle::Removed), "the most severe state takes effect");
 }
 
 #[test]
@@ -222,7 +223,8 @@
         claim.version.updated_at_ms = updated_at_ms;
         claim
     };
-    // Another server, another lease, no authority, and an earlier update of the same one bring nothing back.
+    // A record does not end the drain if it has another server, another lease or no authority, or if it is an
+    // earlier update by the same authority.
     for (other_authority, updated_at_ms) in
         [(authority(1, 100), 60), (authority(0, 101), 60), (None, 60), (authority(0, 100), 49)]
     {
@@ -233,7 +235,7 @@
         assert_eq!(
             lifecycle(&membership, 1),
             Some(Lifecycle::Draining),
-            "{other_authority:?} {updated_at_ms}"
+            "authority {other_authority:?}, updated at {updated_at_ms} ms"
         );
         merge_delta(&mut membership, 3, vec![record(Lifecycle::Active, authority(0, 100), 60)]);
         assert_eq!(lifecycle(&membership, 1), Some(Lifecycle::Active));
@@ -278,30 +280,37 @@
         merge_delta(&mut membership, 0, vec![active(number, 1)]);
         merge_delta(&mut membership, number as i64, vec![removed(number)]);
     }
-    assert_eq!(lifecycle(&membership, 1), None, "more than two");
+    assert_eq!(lifecycle(&membership, 1), None, "more than two removed endpoints");
     let result = merge_delta(&mut membership, 1_002, Vec::new());
     assert_eq!(result.evicted, [endpoint_id(2)]);
-    // An endpoint that came back meanwhile is not evicted.
+    // An endpoint that became active again in the meantime is not evicted.
     merge_delta(&mut membership, 1_002, vec![active(3, 3)]);
     assert_eq!(merge_delta(&mut membership, 9_000, Vec::new()).evicted, []);
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default()
+    })]
 
-    /// Under any order of events: an endpoint that was told to drain with a stamp becomes active again only through a
-    /// newer record, the reported changes add up to the table, and no more removed endpoints are held than configured.
+    /// For any order of events: a draining endpoint becomes active again only through a newer record, the
+    /// reported changes add up to the table, and the table retains no more removed endpoints than configured.
     #[test]
     fn no_order_of_watch_events_revives_a_draining_endpoint(steps in prop::collection::vec(
         (0..4_usize, 0..3_usize, 0..6_i64, any::<bool>(), 0..2_u8), 1..60))
     {
         let mut membership = Membership::new(TimeDelta::from_millis(1_000_000), 2);
-        membership.set_self_preservation(REGISTRY, SelfPreservation { max_missing_fraction: 0.5, accept_after: None });
+        membership.set_self_preservation(
+            REGISTRY, SelfPreservation { max_missing_fraction: 0.5, accept_after: None });
         let (mut newest_active, mut newest_drain) = (BTreeMap::new(), BTreeMap::new());
         let mut reported: BTreeMap<EndpointId, Lifecycle> = BTreeMap::new();
         for (now, (number, state, stamp, is_snapshot, source)) in steps.into_iter().enumerate() {
-            let one = claim(number, LIFECYCLES[state], None, stamp);
-            let event = if is_snapshot { WatchEvent::Snapshot { claims: vec![one], version: stamp } } else { WatchEvent::Delta(vec![one]) };
+            let claim = claim(number, LIFECYCLES[state], None, stamp);
+            let event = if is_snapshot {
+                WatchEvent::Snapshot { claims: vec![claim], version: stamp }
+            } else {
+                WatchEvent::Delta(vec![claim])
+            };
             let result = membership.merge(Timestamp(now as i64), SourceId(source), event);
             let keep_newest = |stamps: &mut BTreeMap<(u8, usize), i64>| {
                 let held = stamps.entry((source, number)).or_insert(stamp);
@@ -323,12 +332,16 @@
             for (endpoint, resolved) in membership.iter() {
                 prop_assert_eq!(reported.get(endpoint), Some(&resolved.lifecycle));
             }
-            prop_assert!(membership.iter().filter(|(_, resolved)| resolved.lifecycle == Lifecycle::Removed).count() <= 2);
-            // Only its own source ends a drain, with a later stamp.
+            prop_assert!(
+                membership.iter().filter(|(_, resolved)| resolved.lifecycle == Lifecycle::Removed).count()
+                    <= 2);
+            // A drain is ended only by the source that reported it, with a later stamp.
             for ((source, number), drained_at) in &newest_drain {
                 if lifecycle(&membership, *number) == Some(Lifecycle::Active) {
                     let active_at = newest_active.get(&(*source, *number));
-                    prop_assert!(active_at > Some(drained_at), "{number} drained by {source} at {drained_at}");
+                    prop_assert!(
+                        active_at > Some(drained_at),
+                        "endpoint {number} drained by source {source} at stamp {drained_at}");
                 }
             }
         }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,5 +1,6 @@
-//! The adapter: text lines in, text lines out, one [`Router`](pooler_routing::Router) per instance. It translates and
-//! decides nothing; instances share nothing but the numbered endpoint lists that the wire itself shares.
+//! The adapter between the simulator's text protocol and one [`Router`](pooler_routing::Router) per instance.
+//! The adapter only translates messages and makes no routing decisions. Instances share nothing except the
+//! numbered endpoint lists, which the protocol itself shares between them.
 
 use crate::decode::{self, EndpointLists};
 use crate::encode;
@@ -12,18 +13,19 @@
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
 
-/// Reads batches from `input` and writes replies to `output` until the input ends.
+/// Reads batches from `input` and writes replies to `output` until the end of the input.
 ///
 /// # Errors
 ///
-/// When a line is malformed, the input ends inside a batch, or input or output fails.
+/// If a line is malformed, the input ends inside a batch, or reading or writing fails.
 pub(crate) fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut line_number = 0_u64;
     for line in input.lines() {
         let line = line?;
         line_number += 1;
-        let reply = adapter.line(&line).map_err(|error| AdapterError::Line { number: line_number, error })?;
+        let reply =
+            adapter.handle_line(&line).map_err(|error| AdapterError::Line { number: line_number, error })?;
         if let Some(reply) = reply {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
@@ -35,18 +37,18 @@
     Ok(())
 }
 
-/// A batch that has begun: messages that arrive at one time, and are answered together.
+/// The current batch: messages with the same time of arrival, which receive a common reply.
 #[derive(Clone, Copy)]
 struct Batch {
     now: Timestamp,
     number: u64,
 }
 
-/// An endpoint list that is being received.
+/// The endpoint list that is being received.
 #[derive(Default)]
 struct PendingList {
     number: u64,
-    entries_due: usize,
+    remaining_entries: usize,
 }
 
 #[derive(Default)]
@@ -61,14 +63,14 @@
 
 impl Adapter {
     fn is_inside_batch(&self) -> bool {
-        self.batch.is_some() || self.pending_list.entries_due > 0
+        self.batch.is_some() || self.pending_list.remaining_entries > 0
     }
 
-    /// Takes one line; gives the reply when it ends a batch.
-    fn line(&mut self, line: &str) -> Result<Option<String>, LineError> {
+    /// Handles one line, and returns the reply to the batch if the line ends one.
+    fn handle_line(&mut self, line: &str) -> Result<Option<String>, LineError> {
         let mut fields = Fields::new(line);
         let message = fields.text("message")?;
-        if self.pending_list.entries_due > 0 && message != "m" {
+        if self.pending_list.remaining_entries > 0 && message != "m" {
             return Err(LineError::EntryExpected(message.to_owned()));
         }
         let Some(batch) = self.batch else {
@@ -78,7 +80,7 @@
         match message {
             "commit" => return Ok(Some(self.end_batch(batch))),
             "census" => self.begin_list(fields)?,
-            "m" if self.pending_list.entries_due > 0 => self.add_entry(fields)?,
+            "m" if self.pending_list.remaining_entries > 0 => self.add_entry(fields)?,
             "start" => self.start_instance(fields)?,
             "stop" => {
                 self.instances.remove(&fields.integer("ProxyId")?);
@@ -109,8 +111,8 @@
 
     fn begin_list(&mut self, mut fields: Fields<'_>) -> Result<(), LineError> {
         let number = fields.integer("Buffer")?;
-        let entries_due = fields.integer("NodesList")? as usize;
-        self.pending_list = PendingList { number, entries_due };
+        let remaining_entries = fields.integer("NodesList")? as usize;
+        self.pending_list = PendingList { number, remaining_entries };
         self.lists.insert(number, Vec::new());
         Ok(())
     }
@@ -118,7 +120,7 @@
     fn add_entry(&mut self, mut fields: Fields<'_>) -> Result<(), LineError> {
         let entry = decode::endpoint_entry(&mut fields)?;
         self.lists.entry(self.pending_list.number).or_default().push(entry);
-        self.pending_list.entries_due -= 1;
+        self.pending_list.remaining_entries -= 1;
         Ok(())
     }
 
@@ -130,7 +132,7 @@
         Ok(())
     }
 
-    /// Reports an event to the instance that it is for, and writes the actions that follow.
+    /// Reports the event of a message to its instance, and appends the resulting actions to the reply.
     fn dispatch(&mut self, now: Timestamp, message: &str, mut fields: Fields<'_>) -> Result<(), LineError> {
         let id = fields.integer("ProxyId")?;
         let instance = self.instances.get_mut(&id).ok_or(LineError::UnknownInstance(id))?;
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,5 +1,5 @@
-//! Turns the messages of a running instance into events. The fields and words of the simulator's protocol are mapped to
-//! the router's terms here.
+//! Decoding of the messages for a running instance into router events. This module maps the fields and words
+//! of the simulator's protocol to the router's terms.
 
 use crate::error::LineError;
 use crate::fields::Fields;
@@ -11,17 +11,17 @@
 };
 use std::collections::HashMap;
 
-/// Set in `Attrs` where `Cost` is told.
-const COST_IS_TOLD: u64 = 1;
-/// What `Mark` counts a position by; the rest of the division is the role.
-const MARK_UNIT: u64 = 4;
-/// No position of a mark is later, in milliseconds.
-const MAX_MARK_POSITION: u64 = 1 << 50;
+/// The bit of `Attrs` that is set if `Cost` is valid.
+const COST_IS_VALID: u64 = 1;
+/// The divisor that splits a `Mark`: the quotient is the position in milliseconds, the remainder the role.
+const MARK_POSITION_UNIT: u64 = 4;
+/// The largest position in a `Mark`, in milliseconds.
+const MAX_MARK_POSITION_MS: u64 = 1 << 50;
 
-/// The endpoint lists by the number of their buffer.
+/// The endpoint lists that the simulator has sent, by the number of their `Buffer`.
 pub(crate) type EndpointLists = HashMap<u64, Vec<EndpointEntry>>;
 
-/// The event that a message reports; `None` for a message of a peer, which this router does not use.
+/// Decodes the event that a message reports; `None` for a message from a peer, which the router does not use.
 pub(crate) fn event(
     message: &str,
     fields: &mut Fields<'_>,
@@ -46,7 +46,7 @@
     }))
 }
 
-/// One entry of an endpoint list.
+/// Decodes one entry of an endpoint list.
 pub(crate) fn endpoint_entry(fields: &mut Fields<'_>) -> Result<EndpointEntry, LineError> {
     let endpoint = fields.endpoint()?;
     let zone = fields.text("Hall")?.to_owned();
@@ -96,7 +96,7 @@
         time_remaining,
         group,
         since_last_write: last_write_ms.filter(|ms| *ms > 0.0).map(duration_from_millis),
-        expected_work: cost_ms.filter(|_| attributes & COST_IS_TOLD != 0).map(duration_from_millis),
+        expected_work: cost_ms.filter(|_| attributes & COST_IS_VALID != 0).map(duration_from_millis),
     })
 }
 
@@ -123,15 +123,16 @@
     })
 }
 
-/// A mark holds the role and, where the response tells it, the position in milliseconds after the epoch.
+/// Decodes a `Mark`, which contains the role and, if the response reports one, the position in milliseconds
+/// after the epoch.
 fn response_metadata(mark: u64, position_epoch: Timestamp) -> ResponseMetadata {
-    let role = match mark % MARK_UNIT {
+    let role = match mark % MARK_POSITION_UNIT {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
         _ => None,
     };
-    let position_ms = (mark / MARK_UNIT).min(MAX_MARK_POSITION) as i64;
-    let position = (mark >= MARK_UNIT).then(|| position_epoch + TimeDelta::from_millis(position_ms));
+    let position_ms = (mark / MARK_POSITION_UNIT).min(MAX_MARK_POSITION_MS) as i64;
+    let position = (mark >= MARK_POSITION_UNIT).then(|| position_epoch + TimeDelta::from_millis(position_ms));
     ResponseMetadata { role, position }
 }
 
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,9 +1,9 @@
-//! Writes actions as lines of the simulator's protocol.
+//! Encoding of actions as lines of the simulator's protocol.
 
 use pooler_routing::{Action, TimeDelta};
 use std::fmt::Write as _;
 
-/// Appends the line for an action of the instance to `reply`.
+/// Appends the line for an action of the instance `instance_id` to `reply`.
 pub(crate) fn action(reply: &mut String, instance_id: u64, action: &Action) {
     // Writing to a string can't fail.
     let _ = match action {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,84 +1,84 @@
-//! Why the adapter stopped.
+//! Errors that stop the adapter.
 
 use pooler_routing::settings::SettingsError;
 use std::io;
 
-/// Why the adapter stopped.
+/// An error that stops the adapter.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// Reading or writing failed.
-    #[error("input or output: {0}")]
+    /// Reading the input or writing the output failed.
+    #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
-    /// A line could not be understood.
+    /// A line of the input is invalid.
     #[error("line {number}: {error}")]
     Line {
-        /// Its number, from 1.
+        /// The number of the line, from 1.
         number: u64,
-        /// What is wrong.
+        /// The fault in the line.
         error: LineError,
     },
     /// The input ended inside a batch.
     #[error("line {line_number}: the input ended inside a batch, before 'commit'")]
     UnfinishedBatch {
-        /// The last line's number.
+        /// The number of the last line of the input.
         line_number: u64,
     },
 }
 
-/// Why a line could not be understood. Fields are called as the simulator's protocol calls them.
+/// A fault in a line of the input. Fields have the names that the simulator's protocol gives them.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LineError {
-    /// The line ends before a field that its message has.
-    #[error("{0} is missing")]
+    /// The line ends before a field that its message requires.
+    #[error("field {0} is missing")]
     MissingField(&'static str),
-    /// A field that can't be empty is.
-    #[error("{0} is empty")]
+    /// A field that must not be empty is empty.
+    #[error("field {0} is empty")]
     EmptyField(&'static str),
-    /// An unsigned integer was expected.
-    #[error("{field}: '{text}' is no whole number")]
+    /// A field is not an unsigned integer.
+    #[error("field {field}: '{text}' is not an unsigned integer")]
     NotAnInteger {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its text.
+        /// The text of the field.
         text: String,
     },
-    /// A number was expected.
-    #[error("{field}: '{text}' is no number")]
+    /// A field is not a valid number.
+    #[error("field {field}: '{text}' is not a valid number")]
     NotANumber {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its text.
+        /// The text of the field.
         text: String,
     },
-    /// A comma-separated row of numbers was expected.
-    #[error("{field}: '{text}' is no row of numbers")]
+    /// A field is not a comma-separated list of numbers.
+    #[error("field {field}: '{text}' is not a comma-separated list of numbers")]
     NotNumbers {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its text.
+        /// The text of the field.
         text: String,
     },
-    /// A word is none of those that the field accepts.
+    /// A field is not one of the words that the protocol defines for it.
     #[error("unknown {field} '{word}'")]
     UnknownWord {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// The word.
+        /// The text of the field.
         word: String,
     },
-    /// A message other than an entry came before an endpoint list was complete.
-    #[error("'{0}' where a list line 'm' is due")]
+    /// Another message arrived before the entries of an endpoint list were complete.
+    #[error("message '{0}' instead of an endpoint list entry 'm'")]
     EntryExpected(String),
-    /// A message other than the begin of a batch came outside of one.
-    #[error("'{0}' outside a batch")]
+    /// A message that does not start a batch arrived outside of a batch.
+    #[error("message '{0}' outside a batch")]
     OutsideBatch(String),
-    /// A message is for an instance that does not run.
+    /// A message is addressed to an instance that is not running.
     #[error("instance {0} is not running")]
     UnknownInstance(u64),
-    /// An endpoint list was never sent.
-    #[error("list {0} was never sent")]
+    /// A message refers to an endpoint list that the simulator has not sent.
+    #[error("endpoint list {0} was never sent")]
     UnknownList(u64),
-    /// The settings of an instance are wrong.
+    /// The settings of an instance cannot be decoded.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of one line, read in order.
+//! Parsing of the space-separated fields of one line, in order.
 
 use crate::error::LineError;
 use pooler_routing::settings::duration_from_millis;
@@ -6,10 +6,10 @@
 use std::str::{FromStr, Split};
 use std::sync::Arc;
 
-/// What stands for a value that is not there.
+/// The placeholder in the protocol for an absent value.
 const ABSENT: &str = "-";
 
-/// The fields of one line that have not been read yet.
+/// The fields of one line that have not been read yet, separated by single spaces.
 pub(crate) struct Fields<'a>(Split<'a, char>);
 
 impl<'a> Fields<'a> {
@@ -17,7 +17,7 @@
         Self(line.split(' '))
     }
 
-    /// The fields that have not been read yet.
+    /// Returns all fields that have not been read yet.
     pub(crate) fn remaining(self) -> impl Iterator<Item = &'a str> {
         self.0
     }
@@ -26,7 +26,7 @@
         self.0.next().ok_or(LineError::MissingField(field))
     }
 
-    /// Reads a field that no decision uses.
+    /// Reads and discards a field that the router does not use.
     pub(crate) fn skip(&mut self, field: &'static str) -> Result<(), LineError> {
         self.text(field).map(drop)
     }
@@ -49,12 +49,12 @@
         text.parse().map(Some).map_err(|_| LineError::NotANumber { field, text: text.to_owned() })
     }
 
-    /// A duration, which the wire gives in milliseconds.
+    /// Reads a duration, which the protocol gives in milliseconds.
     pub(crate) fn duration(&mut self, field: &'static str) -> Result<TimeDelta, LineError> {
         Ok(duration_from_millis(self.number(field)?))
     }
 
-    /// A moment, which the wire gives in milliseconds after the start of the simulation.
+    /// Reads a time, which the protocol gives in milliseconds after the start of the simulation.
     pub(crate) fn timestamp(&mut self, field: &'static str) -> Result<Timestamp, LineError> {
         Ok(Timestamp(self.duration(field)?.0))
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,9 +1,9 @@
-//! One router that the simulator runs, with the names that its messages use.
+//! A router that the simulator runs, and the names of its request classes and tenants.
 
 use pooler_routing::{ClassId, Router, Settings, TenantId};
 use std::collections::HashMap;
 
-/// One router, and what translates its messages.
+/// A router with its settings, and the lookup tables for the class and tenant names in its messages.
 pub(crate) struct Instance {
     pub(crate) router: Router,
     pub(crate) settings: Settings,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! The routing decisions on the simulator's wire: standard input to standard output.
+//! Makes the routing decisions for the simulator, which sends messages to standard input and reads replies
+//! from standard output.
 
 mod adapter;
 mod decode;
