--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -31,13 +31,13 @@
 /// The required freshness of the data that a read returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Any replica may serve the read, with data of any age.
+    /// Any replica may serve the read.
     Eventual,
     /// The data is no older than this at the time when the request is sent.
     BoundedStaleness(TimeDelta),
     /// The data includes all writes of the client's session.
     ReadYourWrites,
-    /// The data includes all writes that were committed before the request arrived.
+    /// The data includes all writes that were made before the request arrived.
     Strong,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl LoadReportField {
-    /// Returns the field with this name in the load report protocol.
+    /// Returns the field that has this name in load reports.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         match name {
@@ -174,7 +174,7 @@
     pub slow_start_floor: f64,
     /// The time that an endpoint takes to warm up after its start.
     pub slow_start_window: TimeDelta,
-    /// The multiple of its current capacity above which a warming endpoint fails if it is sent that much for
+    /// The multiple of its capacity above which a warming endpoint fails if it is sent more than that for
     /// [`Self::overload_window`].
     pub overload_multiple: f64,
     /// The time for which a warming endpoint withstands overload.
