--- a/crates/proxy/src/discovery/backoff.rs
+++ b/crates/proxy/src/discovery/backoff.rs
@@ -6,14 +6,15 @@
 
 /// The shortest pause.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
-/// The window after a lost watch where each pooler has an agent of its own. It is short because what the agent knows
-/// takes effect after the drain grace, whether or not it was received.
+/// The window after a lost watch where each pooler has an agent of its own. It is short because what the
+/// agent knows takes effect after the drain grace, whether or not it was received.
 const AGENT_WINDOW: Duration = Duration::from_millis(60);
 /// The window after a call that never left this machine, and so put no load on discovery.
 const NOT_SENT_WINDOW: Duration = Duration::from_millis(40);
 /// The share of each pooler in the window of the whole fleet.
 const WINDOW_PER_POOLER: Duration = Duration::from_millis(50);
-/// The longest window. It leaves time for another call within 6 s of one that waited two seconds to be rejected.
+/// The longest window. It leaves time for another call within 6 s of one that waited two seconds to be
+/// rejected.
 const MAX_WINDOW: Duration = Duration::from_millis(3_000);
 
 /// How a watch, or the attempt to open one, ended.
@@ -29,9 +30,10 @@
 
 /// Random pauses within a window.
 ///
-/// A lost watch at an agent of the pooler's own is reopened almost at once. A service that the whole fleet shares serves a
-/// limited number of calls per second, and rejects calls that have waited too long: if all poolers reconnected together it
-/// would stay overloaded. There, and after any rejection, the window grows with the size of the fleet.
+/// A lost watch at an agent of the pooler's own is reopened almost at once. A service that the whole fleet
+/// shares serves a limited number of calls per second, and rejects calls that have waited too long: if all
+/// poolers reconnected together it would stay overloaded. There, and after any rejection, the window grows
+/// with the size of the fleet.
 #[derive(Debug)]
 pub struct Backoff {
     rng: ChaCha8Rng,
@@ -40,8 +42,8 @@
 }
 
 impl Backoff {
-    /// The backoff of one pooler in a fleet of `fleet_size` poolers, which share one discovery service or have an agent
-    /// each. The seed must differ between poolers.
+    /// The backoff of one pooler in a fleet of `fleet_size` poolers, which share one discovery service or
+    /// have an agent each. The seed must differ between poolers.
     #[must_use]
     pub fn new(seed: u64, fleet_size: u32, shared_service: bool) -> Self {
         let fleet_window = (WINDOW_PER_POOLER * fleet_size).min(MAX_WINDOW);
--- a/crates/proxy/src/discovery/endpoint_directory.rs
+++ b/crates/proxy/src/discovery/endpoint_directory.rs
@@ -35,8 +35,8 @@
     }
 }
 
-/// Applies what the sources report to the directory and then to the router, so that nothing is sent to an endpoint that
-/// has just begun to drain.
+/// Applies what the sources report to the directory and then to the router, so that nothing is sent to an
+/// endpoint that has just begun to drain.
 #[derive(Clone)]
 pub struct EndpointUpdates {
     directory: Rc<EndpointDirectory>,
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -45,8 +45,8 @@
 }
 
 impl EndpointList {
-    /// Converts the list to a watch event. The platform's messages arrive in order, so `message`, their number, is the
-    /// version of all claims.
+    /// Converts the list to a watch event. The platform's messages arrive in order, so `message`, their
+    /// number, is the version of all claims.
     #[must_use]
     pub fn watch_event(&self, message: i64) -> WatchEvent {
         let claims = self.endpoints.iter().map(|endpoint| endpoint.claim(message)).collect();
@@ -128,7 +128,8 @@
     }
 }
 
-/// The lifecycle state of this name. An endpoint in an unknown state is treated as draining: it gets no new work.
+/// The lifecycle state of this name. An endpoint in an unknown state is treated as draining: it gets no new
+/// work.
 fn lifecycle(name: &str) -> Lifecycle {
     match name {
         LIFECYCLE_ACTIVE => Lifecycle::Active,
--- a/crates/proxy/src/discovery/http.rs
+++ b/crates/proxy/src/discovery/http.rs
@@ -1,4 +1,5 @@
-//! Parses as much of an HTTP/1.1 response as a watch needs: the head, and the chunks of the body. Does no I/O.
+//! Parses as much of an HTTP/1.1 response as a watch needs: the head, and the chunks of the body. Does no
+//! I/O.
 
 /// The largest head or chunk, in bytes.
 const MAX_PART_SIZE: usize = 4 * 1024 * 1024;
@@ -52,8 +53,8 @@
     Ok(Some(Head { chunked, size: end + HEAD_END.len() }))
 }
 
-/// Parses the first chunk in `data`, and gives its content and the size of all of it in bytes; `None` while it is
-/// incomplete. An empty chunk ends the body.
+/// Parses the first chunk in `data`, and gives its content and the size of all of it in bytes; `None` while
+/// it is incomplete. An empty chunk ends the body.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -37,7 +37,8 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete object, if there is one. Empty lines between objects are keep-alives, and are skipped.
+    /// The next complete object, if there is one. Empty lines between objects are keep-alives, and are
+    /// skipped.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -17,8 +17,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Keep-alives arrive every 2 s. A watch that misses one is closed and reopened: a change takes effect 6 s after it would
-/// have been reported, whether or not it arrived, which leaves time for one more call that gets no response.
+/// Keep-alives arrive every 2 s. A watch that misses one is closed and reopened: a change takes effect 6 s
+/// after it would have been reported, whether or not it arrived, which leaves time for one more call that
+/// gets no response.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Why a watch ended.
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a file that can't be read, or is truncated, is read again: it may be being replaced. What discovery reports at
-/// its new address has to take effect within 4 s of the signal.
+/// How long a file that can't be read, or is truncated, is read again: it may be being replaced. What
+/// discovery reports at its new address has to take effect within 4 s of the signal.
 const RETRY_WINDOW: Duration = Duration::from_secs(3);
 /// The first pause before the file is read again; each further one is twice as long.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -30,9 +30,10 @@
         Self { config_file, discovery, counters, requested: Cell::new(0) }
     }
 
-    /// Reads the configuration again and applies the address of discovery. All other changes take effect at the next
-    /// start; endpoints, connections and requests in flight are unaffected. A file that can't be used changes nothing;
-    /// one that may be being replaced is read again for a while, or until the next signal.
+    /// Reads the configuration again and applies the address of discovery. All other changes take effect at
+    /// the next start; endpoints, connections and requests in flight are unaffected. A file that can't be
+    /// used changes nothing; one that may be being replaced is read again for a while, or until the next
+    /// signal.
     pub(crate) async fn reload(self: Rc<Self>) {
         let (started, reload) = (Instant::now(), self.requested.get() + 1);
         self.requested.set(reload);
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: the pooler keeps serving while there is time, then closes client connections as they become idle,
-//! and exits when none is left or the time is over.
+//! Graceful shutdown: the pooler keeps serving while there is time, then closes client connections as they
+//! become idle, and exits when none is left or the time is over.
 
 use crate::lifecycle::stages::ShutdownStages;
 use async_io::Timer;
@@ -8,10 +8,12 @@
 
 /// Connections keep arriving for up to 0.4 s after SIGTERM; until a little later nothing changes for clients.
 const ARRIVALS: Duration = Duration::from_millis(500);
-/// Idle connections are closed only this long before the remaining requests are terminated. A client uses no other
-/// pooler while it has a connection, so closing one early fails the requests that it would have carried.
+/// Idle connections are closed only this long before the remaining requests are terminated. A client uses no
+/// other pooler while it has a connection, so closing one early fails the requests that it would have
+/// carried.
 const CLOSING_TIME: Duration = Duration::from_millis(700);
-/// After the pooler has begun to close idle connections, late clients are still accepted and served for this long.
+/// After the pooler has begun to close idle connections, late clients are still accepted and served for this
+/// long.
 const LATE_ARRIVALS: Duration = Duration::from_millis(250);
 /// SIGKILL arrives no earlier than after the longest deadline, limited to this, plus a grace.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
@@ -44,7 +46,8 @@
     #[must_use]
     pub fn new(longest_deadline: Duration) -> Self {
         let kill = Self::earliest_kill(longest_deadline);
-        // If time is short, accepting late arrivals takes precedence over the margin, and the flush over both.
+        // If time is short, accepting late arrivals takes precedence over the margin, and the flush over
+        // both.
         let terminating = (kill - KILL_MARGIN).max(ARRIVALS).min(kill - FLUSH_TIME - MIN_KILL_MARGIN);
         let closing_idle = terminating.saturating_sub(CLOSING_TIME).max(ARRIVALS).min(terminating);
         let not_accepting = (closing_idle + LATE_ARRIVALS).min(terminating);
--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -1,4 +1,5 @@
-//! Signals: SIGTERM and SIGINT shut the pooler down, SIGHUP reads the configuration again, SIGUSR1 logs the status report.
+//! Signals: SIGTERM and SIGINT shut the pooler down, SIGHUP reads the configuration again, SIGUSR1 logs the
+//! status report.
 
 use crate::lifecycle::reload::Reloader;
 use crate::lifecycle::shutdown::Shutdown;
@@ -16,8 +17,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The interval at which the flags are checked. The signal pipe wakes the task at once, but the handler's write to it can
-/// fail.
+/// The interval at which the flags are checked. The signal pipe wakes the task at once, but the handler's
+/// write to it can fail.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause after an error of the pipe, so that one that persists is not retried in a busy loop.
 const ERROR_DELAY: Duration = Duration::from_millis(1);
--- a/crates/proxy/src/request/attempt.rs
+++ b/crates/proxy/src/request/attempt.rs
@@ -1,18 +1,18 @@
-//! One attempt of a request: the transport that carries it, and its result.
+//! One attempt of a request: the interface of the transport that makes it, and its result.
 
 use pooler_routing::{AttemptOutcome, EndpointId, ResponseMetadata};
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Carries attempts to endpoints.
+/// Sends attempts to endpoints and reads their responses.
 pub trait AttemptTransport {
-    /// A client's query, ready to be forwarded.
+    /// A client's query in the form that is forwarded to an endpoint.
     type Query;
-    /// An endpoint's response to it.
+    /// An endpoint's response to a query.
     type Response;
 
-    /// Makes one attempt and waits up to `timeout` for its result. The transport never retries by itself. Once the
-    /// future has completed or was dropped, nothing of the attempt is in flight any more.
+    /// Makes one attempt and waits up to `timeout` for its result. The transport never retries on its own.
+    /// Once the future has completed or has been dropped, no part of the attempt is in flight.
     fn attempt(
         &self,
         endpoint: &EndpointId,
@@ -22,32 +22,34 @@
     ) -> impl Future<Output = AttemptResult<Self::Response>>;
 }
 
-/// Connects a transport with the request that it serves: the transport checks the request's eligibility before it writes
-/// an attempt, and records afterwards that it was written.
+/// Links an attempt to its request. The transport checks through the context that the attempt is still
+/// eligible before writing it, and records that it has been written.
 pub struct AttemptContext<'a> {
     still_eligible: &'a dyn Fn() -> bool,
     sent: Cell<bool>,
 }
 
 impl<'a> AttemptContext<'a> {
-    /// The context of an attempt that is not written yet. `still_eligible` asks the router whether it may be.
+    /// The context of an attempt that has not been written yet. `still_eligible` asks the router whether it
+    /// may still be written.
     #[must_use]
     pub fn new(still_eligible: &'a dyn Fn() -> bool) -> Self {
         Self { still_eligible, sent: Cell::new(false) }
     }
 
-    /// Whether the attempt may still be written, now that its connection is there.
+    /// Whether the router still allows the attempt to be written. To be checked once the connection is
+    /// available.
     #[must_use]
     pub fn still_eligible(&self) -> bool {
         (self.still_eligible)()
     }
 
-    /// Records that all of the attempt is written: from now on it may run.
+    /// Records that the attempt has been written completely, so the endpoint may run it from now on.
     pub fn mark_sent(&self) {
         self.sent.set(true);
     }
 
-    /// Whether all of the attempt is written.
+    /// Whether the attempt has been written completely.
     #[must_use]
     pub fn is_sent(&self) -> bool {
         self.sent.get()
@@ -57,18 +59,18 @@
 /// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult<R> {
-    /// The outcome.
+    /// The outcome that is reported to the router.
     pub outcome: AttemptOutcome,
-    /// What the endpoint reported about itself beside the response.
+    /// The metadata that the endpoint sent about itself along with the response.
     pub metadata: Option<ResponseMetadata>,
-    /// The endpoint's load report.
+    /// The values of the endpoint's load report, if it sent a valid one.
     pub load_report: Option<Vec<f64>>,
     /// The response, if the outcome is [`AttemptOutcome::Ok`].
     pub response: Option<R>,
 }
 
 impl<R> AttemptResult<R> {
-    /// A result with nothing but its outcome.
+    /// A result that consists of its outcome only.
     #[must_use]
     pub fn without_response(outcome: AttemptOutcome) -> Self {
         Self { outcome, metadata: None, load_report: None, response: None }
--- a/crates/proxy/src/request/client_request.rs
+++ b/crates/proxy/src/request/client_request.rs
@@ -1,31 +1,31 @@
-//! A request of a client, and what aborts it.
+//! A client's request, and the reasons for which it can be aborted.
 
 use pooler_routing::{ClassId, GroupId, SessionKey, Timestamp};
 
 /// A request as the client side submits it.
 #[derive(Debug)]
 pub struct ClientRequest<Q> {
-    /// Its class.
+    /// The request class.
     pub class: ClassId,
-    /// Its session, in classes that have sessions.
+    /// The session that the request belongs to; `None` in classes without sessions.
     pub session: Option<SessionKey>,
-    /// Its group.
+    /// The group of endpoints that the request is for.
     pub group: GroupId,
-    /// When the client gives up.
+    /// When the client stops waiting for the response.
     pub deadline: Timestamp,
-    /// When its session last committed a write, if the client reports that.
+    /// When the session last committed a write, if the client reports that.
     pub last_write: Option<Timestamp>,
-    /// The query for an endpoint.
+    /// The query to forward to an endpoint.
     pub query: Q,
 }
 
-/// Why a request ends without a decision of the router.
+/// Why a request is ended other than by a decision of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbortReason {
-    /// Its client has disconnected.
+    /// The client has disconnected.
     ClientDisconnected,
-    /// Its client has asked to cancel it.
+    /// The client has sent a cancel request.
     CancelRequested,
-    /// The process exits before the request's deadline.
+    /// The process shuts down before the request's deadline.
     Shutdown,
 }
--- a/crates/proxy/src/request/final_response.rs
+++ b/crates/proxy/src/request/final_response.rs
@@ -5,23 +5,24 @@
 /// The one final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse<R> {
-    /// An endpoint's response.
+    /// The request was served; holds the endpoint's response.
     Served(R),
-    /// The request is rejected: it did not run, and a retry is safe. Holds when to retry, if clients are told.
+    /// The request was rejected: it did not run, and a retry is safe. Holds the retry-after delay, if clients
+    /// are told.
     Rejected(Option<TimeDelta>),
-    /// The request has failed; it may or may not have run.
+    /// The request failed; it may or may not have run.
     Failed {
-        /// The last endpoint that may have run it.
+        /// The last endpoint that may have run the request; `None` if none can have.
         in_doubt_at: Option<EndpointId>,
     },
-    /// The client has cancelled the request.
+    /// The client cancelled the request.
     Cancelled {
-        /// The last endpoint that may have run it.
+        /// The last endpoint that may have run the request; `None` if none can have.
         in_doubt_at: Option<EndpointId>,
     },
-    /// The client has closed its connection, or its side of it.
+    /// The client closed its connection, or its sending side of it.
     ClientDisconnected {
-        /// The last endpoint that may have run it.
+        /// The last endpoint that may have run the request; `None` if none can have.
         in_doubt_at: Option<EndpointId>,
     },
 }
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -1,5 +1,5 @@
-//! The life of a request, from when it is submitted to the router to its one final response. The protocol is the
-//! [`AttemptTransport`]'s concern.
+//! Serves requests, from their submission to the router to their one final response. Independent of the wire
+//! protocol, which an [`AttemptTransport`] implements.
 
 mod attempt;
 mod client_request;
--- a/crates/proxy/src/request/serve.rs
+++ b/crates/proxy/src/request/serve.rs
@@ -1,4 +1,4 @@
-//! Serving a request: the router's commands are carried out until one of them, or the client, ends it.
+//! Serves a request: carries out the router's commands until a command or an abort ends the request.
 
 use super::attempt::{AttemptContext, AttemptResult, AttemptTransport};
 use super::client_request::{AbortReason, ClientRequest};
@@ -13,20 +13,20 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// A reason to stop waiting for an attempt before it has completed.
+/// An event that ends the wait for an attempt before the attempt has completed.
 enum Interruption {
     Command(RequestCommand),
     Aborted(AbortReason),
 }
 
-/// The end of the wait for an attempt.
+/// The event that ends the wait for an attempt.
 enum AttemptEvent<R> {
     Completed(AttemptResult<R>),
     Interrupted(Interruption),
 }
 
-/// Serves one request: submits it to the router, and makes the attempts that the router commands, until the router or
-/// `aborted` ends it.
+/// Serves one request: submits it to the router and makes the attempts that the router commands, until the
+/// router ends the request or `aborted` completes.
 pub async fn serve<T: AttemptTransport>(
     router: &Rc<RouterHandle>,
     transport: &T,
@@ -36,7 +36,7 @@
     let mut aborted = pin!(aborted);
     let mut active = ActiveRequest::start(router, request);
     loop {
-        // A command that is ready takes precedence over the abort: the router has decided already.
+        // A pending command takes precedence over an abort, since the router has already decided.
         let command = async { Interruption::Command(active.handle.next_command().await) };
         let abort = async { Interruption::Aborted(aborted.as_mut().await) };
         let (endpoint, timeout) = match or(command, abort).await {
@@ -45,27 +45,28 @@
                 return reject(router, retry_after);
             }
             Interruption::Command(RequestCommand::Fail) => return active.fail(),
-            // The attempt to cancel has completed by itself.
+            // The attempt that was to be cancelled has already completed.
             Interruption::Command(RequestCommand::CancelAttempt) => continue,
             Interruption::Aborted(reason) => {
                 active.report_abandoned();
                 return active.abort(reason);
             }
         };
-        let last = active.attempt(transport, &request.query, endpoint, timeout, aborted.as_mut()).await;
-        if let Some(response) = last {
+        let final_response =
+            active.attempt(transport, &request.query, endpoint, timeout, aborted.as_mut()).await;
+        if let Some(response) = final_response {
             return response;
         }
     }
 }
 
-/// A request that the router knows, and that has no final response yet.
+/// A request that was submitted to the router and has no final response yet.
 struct ActiveRequest<'a> {
     router: &'a RouterHandle,
     handle: RequestHandle,
     /// The number of attempts that have ended.
     attempts: u32,
-    /// The last endpoint that may have run it.
+    /// The last endpoint that may have run the request.
     in_doubt_at: Option<EndpointId>,
 }
 
@@ -84,7 +85,8 @@
         Self { router, handle, attempts: 0, in_doubt_at: None }
     }
 
-    /// Makes one attempt and reports its end to the router. Gives the final response, if the request ends with it.
+    /// Makes one attempt and reports its completion to the router. Returns the final response if the request
+    /// ends here.
     async fn attempt<T: AttemptTransport>(
         &mut self,
         transport: &T,
@@ -97,7 +99,8 @@
         let started = self.router.now();
         let still_eligible = || self.router.still_eligible(self.handle.id(), &endpoint);
         let context = AttemptContext::new(&still_eligible);
-        // The block drops the attempt, and its connection if it was given up, before the router is told.
+        // The block drops the attempt, and with it the connection of an interrupted one, before the router is
+        // notified.
         let event = {
             let attempt = transport.attempt(&endpoint, query, timeout.to_duration(), &context);
             wait_for_attempt(attempt, self.handle.next_command(), aborted, &context).await
@@ -105,7 +108,7 @@
         let (result, interruption) = match event {
             AttemptEvent::Completed(result) => (result, None),
             AttemptEvent::Interrupted(interruption) => {
-                // What was given up before all of it was written never ran.
+                // An attempt that was interrupted before it was written completely never ran.
                 let sent = context.is_sent();
                 let outcome = if sent { AttemptOutcome::Cancelled } else { AttemptOutcome::NotSent };
                 (AttemptResult::without_response(outcome), Some(interruption))
@@ -115,7 +118,7 @@
         self.final_response(response, interruption)
     }
 
-    /// Reports the end of an attempt to the router, preceded by the end of the request if that was aborted.
+    /// Reports the completion of an attempt to the router; if the request was aborted, reports that first.
     fn report_completed<R>(
         &mut self,
         endpoint: EndpointId,
@@ -147,7 +150,7 @@
         response
     }
 
-    /// The final response after an attempt; `None` if the request goes on.
+    /// The final response after an attempt; `None` if the request stays open.
     fn final_response<R>(
         &self,
         response: Option<R>,
@@ -176,8 +179,8 @@
         FinalResponse::Failed { in_doubt_at: self.in_doubt_at.clone() }
     }
 
-    /// The response to a request that was aborted. At a shutdown it is rejected only if it can't have run, since a
-    /// rejection promises that a retry is safe.
+    /// The final response to an aborted request. At shutdown a request is rejected only if it can't have run,
+    /// since a rejection guarantees that a retry is safe.
     fn abort<R>(&self, reason: AbortReason) -> FinalResponse<R> {
         let in_doubt_at = self.in_doubt_at.clone();
         match reason {
@@ -200,9 +203,10 @@
     FinalResponse::Rejected(retry_after)
 }
 
-/// Waits for the end of an attempt, a command of the router, or an abort of the request. Until the attempt is written it
-/// is polled last: nothing is begun for a client that has disconnected. Once it is written, a response that has arrived
-/// takes precedence over a command, and both over the client's disconnect.
+/// Waits until the attempt completes, the router sends a command or the request is aborted. The attempt is
+/// polled last until it is written, so that no query is written for a client that has disconnected. Once it
+/// is written, a response that has arrived takes precedence over a command, and both take precedence over the
+/// client's disconnect.
 async fn wait_for_attempt<R>(
     attempt: impl Future<Output = AttemptResult<R>>,
     command: impl Future<Output = RequestCommand>,
--- a/crates/proxy/src/router_handle.rs
+++ b/crates/proxy/src/router_handle.rs
@@ -1,5 +1,6 @@
-//! The handle of the router. It dispatches events to the router, and forwards each resulting action to the task that
-//! carries it out: the request concerned, the health checker or the timer. It makes no decisions.
+//! Connects the router to the tasks of the proxy. Events are dispatched to the router, and each resulting
+//! action is forwarded to the task that carries it out: the request concerned, the health checker or the
+//! timer. No routing decision is made here.
 
 use crate::clock::Clock;
 use crate::metrics::Counters;
@@ -12,38 +13,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A timer that fires later than this shows that the process was suspended.
-const LATE_TIMER: TimeDelta = TimeDelta::from_millis(5);
-/// Long enough for one turn of the reactor.
-const REACTOR_TURN: Duration = Duration::from_millis(1);
+/// If a timer fires later than this, the process is taken to have been suspended.
+const SUSPENSION_THRESHOLD: TimeDelta = TimeDelta::from_millis(5);
+/// Long enough for the reactor to poll once and wake the tasks whose sockets are ready.
+const REACTOR_POLL_DELAY: Duration = Duration::from_millis(1);
 
 /// A command of the router to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestCommand {
     /// Start an attempt.
     Send {
-        /// Where to.
+        /// The endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// How long to wait for its response.
+        /// How long to wait for the response.
         timeout: TimeDelta,
     },
     /// Respond that the request is rejected.
     Reject {
-        /// When the client should retry.
+        /// The delay after which the client should retry; `None` if clients are not told.
         retry_after: Option<TimeDelta>,
     },
     /// Respond that the request has failed.
     Fail,
-    /// Give up the attempt in flight.
+    /// Cancel the attempt in flight.
     CancelAttempt,
 }
 
-/// The router, with its clock and the channels to the tasks that carry out its actions.
+/// The router, together with its clock and the channels to the tasks that carry out its actions.
 pub struct RouterHandle {
     clock: Clock,
     counters: Rc<Counters>,
     router: RefCell<Router>,
-    /// Empty between events; kept for its allocation.
+    /// Empty between events; kept so that its allocation is reused.
     actions: RefCell<Vec<Action>>,
     command_channels: RefCell<HashMap<RequestId, Sender<RequestCommand>>>,
     last_request_id: Cell<u64>,
@@ -53,7 +54,8 @@
 }
 
 impl RouterHandle {
-    /// A handle of `router`; endpoints to check go to `health_checks`.
+    /// Creates the handle of `router`. The endpoints that the router wants checked are sent to
+    /// `health_checks`.
     #[must_use]
     pub fn new(router: Router, counters: Rc<Counters>, health_checks: Sender<EndpointId>) -> Self {
         let (timer_sender, timer_receiver) = async_channel::unbounded();
@@ -70,13 +72,13 @@
         }
     }
 
-    /// The current time on the clock of all the router's timestamps.
+    /// The current time on the router's clock: Unix time in microseconds.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The counters.
+    /// The counters that the router and its tasks update.
     #[must_use]
     pub fn counters(&self) -> &Rc<Counters> {
         &self.counters
@@ -95,44 +97,47 @@
     fn forward(&self, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout } => {
-                self.command(request, RequestCommand::Send { endpoint, timeout });
+                self.send_command(request, RequestCommand::Send { endpoint, timeout });
             }
             Action::Reject { request, retry_after } => {
-                self.command(request, RequestCommand::Reject { retry_after });
+                self.send_command(request, RequestCommand::Reject { retry_after });
             }
-            Action::Fail { request } => self.command(request, RequestCommand::Fail),
-            Action::Cancel { request, .. } => self.command(request, RequestCommand::CancelAttempt),
-            // Both channels are unbounded, and their receivers live as long as the process.
+            Action::Fail { request } => self.send_command(request, RequestCommand::Fail),
+            Action::Cancel { request, .. } => self.send_command(request, RequestCommand::CancelAttempt),
+            // Sending can't fail: both channels are unbounded, and their receivers live as long as the
+            // process.
             Action::HealthCheck { endpoint } => drop(self.health_checks.try_send(endpoint)),
             Action::SetTimer { at } => drop(self.timer_sender.try_send(at)),
-            // Discovery is watched permanently.
+            // Nothing to start: discovery is watched all the time.
             Action::Subscribe => {}
             Action::Log { line } => tracing::info!(target: "decisions", "{line}"),
         }
     }
 
-    /// Sends a command to a request. A request that has ended has no channel any more, and its commands are dropped.
-    fn command(&self, request: RequestId, command: RequestCommand) {
+    /// Sends a command to a request. Commands to a request that has ended are dropped, since its channel is
+    /// gone.
+    fn send_command(&self, request: RequestId, command: RequestCommand) {
         if let Some(channel) = self.command_channels.borrow().get(&request) {
             drop(channel.try_send(command));
         }
     }
 
-    /// Assigns a new id and a command channel to a request, and dispatches the request that `describe` builds.
+    /// Assigns an id and a command channel to a new request, and dispatches the request that `build` returns
+    /// for them.
     pub fn start_request(
         self: &Rc<Self>,
-        describe: impl FnOnce(RequestId, Timestamp) -> Request,
+        build: impl FnOnce(RequestId, Timestamp) -> Request,
     ) -> RequestHandle {
         let id = RequestId(self.last_request_id.get() + 1);
         self.last_request_id.set(id.0);
         let (sender, commands) = async_channel::unbounded();
         self.command_channels.borrow_mut().insert(id, sender);
         self.counters.requests.increment();
-        self.dispatch(Event::Request(describe(id, self.clock.now())));
+        self.dispatch(Event::Request(build(id, self.clock.now())));
         RequestHandle { router: self.clone(), id, commands }
     }
 
-    /// Whether the router still wants this attempt to be written.
+    /// Whether the router still allows an attempt of this request to be written to this endpoint.
     pub fn still_eligible(&self, request: RequestId, endpoint: &EndpointId) -> bool {
         self.router.borrow().still_eligible(self.clock.now(), request, endpoint)
     }
@@ -142,8 +147,8 @@
         self.router.borrow().accepts_new_work(endpoint)
     }
 
-    /// Runs the router's timer, for ever. A newly set timer replaces the one before: the router sets one only if it is
-    /// sooner, or the earlier has fired.
+    /// Runs the router's timer; never returns. A newly set timer replaces the pending one: the router sets a
+    /// timer only if it is due sooner than the pending one, or if that one has fired.
     pub async fn run_timer(&self) {
         let mut timer: Option<Timestamp> = None;
         loop {
@@ -163,19 +168,19 @@
         }
     }
 
-    /// Dispatches a fired timer, after the requests whose responses have arrived had the chance to read them: the router
-    /// would count those as overdue. Tasks that the same turn of the reactor woke run first; if the process was
-    /// suspended, the reactor gets another turn to wake them.
+    /// Dispatches a fired timer, but first lets requests whose responses have already arrived read them; the
+    /// router would count those as overdue. Yielding runs the tasks that the same poll of the reactor woke.
+    /// After a suspension of the process, the reactor is given time to poll once more and wake them.
     async fn fire_timer(&self, timer: Option<Timestamp>) {
-        if timer.is_some_and(|at| self.clock.now() - at > LATE_TIMER) {
-            Timer::after(REACTOR_TURN).await;
+        if timer.is_some_and(|at| self.clock.now() - at > SUSPENSION_THRESHOLD) {
+            Timer::after(REACTOR_POLL_DELAY).await;
         }
         yield_now().await;
         self.dispatch(Event::TimerFired);
     }
 }
 
-/// The receiving side of a request's command channel, which is closed on drop.
+/// The receiving end of a request's command channel. Dropping the handle closes the channel.
 pub struct RequestHandle {
     router: Rc<RouterHandle>,
     id: RequestId,
@@ -183,15 +188,15 @@
 }
 
 impl RequestHandle {
-    /// The request's id.
+    /// The id that the router knows the request by.
     #[must_use]
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Waits for the next command.
+    /// Waits for the router's next command to this request.
     pub async fn next_command(&self) -> RequestCommand {
-        // The sender is dropped only with this handle.
+        // The sender is dropped only when this handle is dropped.
         self.commands.recv().await.unwrap_or(RequestCommand::Fail)
     }
 }
--- a/crates/proxy/src/server/attempt.rs
+++ b/crates/proxy/src/server/attempt.rs
@@ -1,4 +1,5 @@
-//! The progress of an attempt, the errors that end one, and the outcomes that the router is told for them.
+//! The stages of an attempt, the errors that end one, and the outcomes that are reported to the router for
+//! them.
 
 use super::sqlstate::connection_error_outcome;
 use crate::protocol::{ProtocolError, SqlState};
@@ -6,16 +7,16 @@
 use pooler_routing::AttemptOutcome;
 use std::io;
 
-/// The progress of an attempt.
+/// How far an attempt has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptStage {
-    /// Waiting for the resources of a new connection.
-    Waiting,
+    /// Waiting for a connection permit, or for descriptors, ports or memory of this machine.
+    AwaitingResources,
     /// Opening a connection, or validating an idle one.
     Connecting,
     /// Writing the query.
     Writing,
-    /// The query is written completely: it may run.
+    /// The query has been written completely; the server may run it.
     Sent,
 }
 
@@ -23,11 +24,12 @@
     /// The outcome of an attempt whose timeout expired at this stage.
     pub(super) fn timeout_outcome(self) -> AttemptOutcome {
         match self {
-            // Nothing was sent, and nothing is known about the endpoint.
-            Self::Waiting => AttemptOutcome::NotSent,
-            // Nothing was sent, and less than the connect timeout has passed: it may be this connection alone.
+            // Nothing was sent, and the timeout says nothing about the endpoint.
+            Self::AwaitingResources => AttemptOutcome::NotSent,
+            // Nothing was sent. Less than the connect timeout has passed, so the fault may be limited to this
+            // connection.
             Self::Connecting => AttemptOutcome::ConnectionLostBeforeSend,
-            // The server accepted the connection, but not all bytes of the query: it never ran.
+            // The server accepted the connection but not all bytes of the query, so the query never ran.
             Self::Writing => AttemptOutcome::ConnectionRefused,
             Self::Sent => AttemptOutcome::Timeout,
         }
@@ -37,39 +39,39 @@
 /// An error that ends an attempt without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AttemptError {
-    /// This machine is out of descriptors, ports or memory; the endpoint is not to blame.
+    /// This machine is out of descriptors, ports or memory; this is no failure of the endpoint.
     #[error("this machine is out of descriptors, ports or memory")]
     ResourceExhausted,
-    /// The endpoint refused the connection, or has no address.
-    #[error("connection refused")]
+    /// The endpoint refused the connection, or its address is unknown.
+    #[error("endpoint refused the connection or has no known address")]
     ConnectionRefused,
     /// The endpoint did not respond in time.
-    #[error("timed out")]
+    #[error("endpoint did not respond in time")]
     TimedOut,
     /// The connection broke, or the server violated the protocol.
-    #[error("connection lost")]
+    #[error("connection to the endpoint was lost, or the server violated the protocol")]
     ConnectionLost,
-    /// The router sends no new work to the endpoint any more.
-    #[error("the endpoint accepts no new work")]
-    EndpointWithdrawn,
+    /// The router no longer sends new work to the endpoint.
+    #[error("endpoint no longer accepts new work")]
+    EndpointNotAccepting,
     /// The endpoint's data has become too stale for the request.
-    #[error("the endpoint is not eligible any more")]
+    #[error("endpoint is no longer eligible for the request")]
     NoLongerEligible,
-    /// The timeout had expired before the query was written.
+    /// The attempt's deadline expired before the query was written.
     #[error("deadline expired before the query was written")]
     DeadlineExpired,
-    /// The server rejected the connection with an error.
-    #[error("server error {0:?}")]
+    /// The server rejected the connection with an ErrorResponse of this code.
+    #[error("server rejected the connection with error {0:?}")]
     ServerError(SqlState),
 }
 
 impl AttemptError {
-    /// The outcome of an attempt that failed with this error at this stage.
+    /// The outcome of an attempt that failed with this error at `stage`.
     pub(super) fn outcome(self, stage: AttemptStage) -> AttemptOutcome {
         match self {
             Self::ServerError(code) => connection_error_outcome(code),
-            // Nothing was sent, and nothing is known about the endpoint.
-            Self::EndpointWithdrawn | Self::NoLongerEligible | Self::DeadlineExpired => {
+            // Nothing was sent, and the error says nothing about the endpoint.
+            Self::EndpointNotAccepting | Self::NoLongerEligible | Self::DeadlineExpired => {
                 AttemptOutcome::NotSent
             }
             _ if stage == AttemptStage::Sent => AttemptOutcome::ConnectionReset,
--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server: opened with the protocol's startup, and validated before it is reused.
+//! A connection to a server: opened with the startup of the PostgreSQL protocol, and validated before reuse.
 
 use super::attempt::AttemptError;
 use super::connection_limit::ConnectionPermit;
@@ -13,16 +13,17 @@
 
 const USER: &str = "backend";
 const DATABASE: &str = "store";
-/// An empty query. An idle connection has to respond to it, with nothing before or after the response, before it carries
-/// a request: some were closed without notice, and the next write on them would be lost.
+/// A Query message with an empty statement. Before an idle connection carries a request, the server has to
+/// respond to it with nothing before or after the response: a connection may have been closed without notice,
+/// and a request written to it would be lost.
 const EMPTY_QUERY: &[u8] = b"Q\0\0\0\x05\0";
-/// The body of an AuthenticationOk.
+/// The body of an AuthenticationOk message.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
-/// A connection to a server, at ReadyForQuery when it is idle.
+/// A connection to a server. While it is idle, the last message read from it is ReadyForQuery.
 #[derive(Debug)]
 pub(super) struct Connection {
-    // Declared before the permit: the descriptor is closed before the limit counts it as released.
+    // Declared before the permit, so that the descriptor is closed before the permit is returned.
     stream: Async<TcpStream>,
     address: SocketAddr,
     buffer: ReadBuffer,
@@ -31,11 +32,11 @@
 }
 
 impl Connection {
-    /// Connects to a server and performs the protocol's startup.
+    /// Connects to a server and performs the startup of the protocol.
     ///
     /// # Errors
     ///
-    /// When the server can't be reached, breaks the connection or rejects it.
+    /// Fails if the server can't be reached, or closes or rejects the connection.
     pub(super) async fn open(address: SocketAddr, permit: ConnectionPermit) -> Result<Self, AttemptError> {
         let stream = Async::<TcpStream>::connect(address).await.map_err(|error| connect_error(&error))?;
         stream.get_ref().set_nodelay(true)?;
@@ -46,7 +47,7 @@
         Ok(connection)
     }
 
-    /// Sends the startup message and reads up to ReadyForQuery.
+    /// Sends the startup message and reads up to and including ReadyForQuery.
     async fn start_up(&mut self) -> Result<(), AttemptError> {
         let mut startup = Vec::with_capacity(64);
         write::startup_message(&mut startup, USER, DATABASE);
@@ -68,7 +69,7 @@
                     return Ok(());
                 }
             }
-            self.fill_or_lost().await?;
+            self.fill_or_fail().await?;
         }
     }
 
@@ -76,88 +77,89 @@
     ///
     /// # Errors
     ///
-    /// When anything else arrives, or the connection is closed.
+    /// Fails if any other message arrives, or the connection is closed.
     pub(super) async fn validate(&mut self) -> Result<(), AttemptError> {
         self.write(&[EMPTY_QUERY]).await?;
-        let mut answered = false;
+        let mut got_empty_response = false;
         loop {
             while let Some(message) = parse_backend_message(self.unread())? {
                 let (tag, size) = (message.tag, message.size);
-                let ready =
-                    tag == backend_tag::READY_FOR_QUERY && answered && is_ready_for_query(message.body);
+                let is_ready = tag == backend_tag::READY_FOR_QUERY
+                    && got_empty_response
+                    && is_ready_for_query(message.body);
                 match tag {
-                    backend_tag::EMPTY_QUERY_RESPONSE if !answered => answered = true,
-                    backend_tag::PARAMETER_STATUS | backend_tag::NOTICE_RESPONSE if answered => {}
-                    _ if ready => {}
+                    backend_tag::EMPTY_QUERY_RESPONSE if !got_empty_response => got_empty_response = true,
+                    backend_tag::PARAMETER_STATUS | backend_tag::NOTICE_RESPONSE if got_empty_response => {}
+                    _ if is_ready => {}
                     _ => return Err(AttemptError::ConnectionLost),
                 }
                 self.consume(size);
-                if ready {
+                if is_ready {
                     return if self.has_unread() { Err(AttemptError::ConnectionLost) } else { Ok(()) };
                 }
             }
-            self.fill_or_lost().await?;
+            self.fill_or_fail().await?;
         }
     }
 
-    /// Whether it can carry another request: connected to the endpoint's current `address`, open, with nothing unread,
-    /// and idle for less than `max_idle`.
+    /// Whether the connection can carry another request: it is connected to the endpoint's current `address`,
+    /// is open, has no unread bytes and has been idle for less than `max_idle`.
     pub(super) fn is_reusable(&self, address: Option<SocketAddr>, max_idle: Duration) -> bool {
-        let silent = match self.stream.get_ref().peek(&mut [0]) {
+        let open_and_empty = match self.stream.get_ref().peek(&mut [0]) {
             Err(error) => matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
             Ok(_) => false,
         };
-        silent && address == Some(self.address) && !self.has_unread() && self.idle_for() < max_idle
+        open_and_empty && address == Some(self.address) && !self.has_unread() && self.idle_for() < max_idle
     }
 
-    /// Starts the idle time, and releases a large buffer.
+    /// Records that the idle time starts now, and frees the read buffer if it is large.
     pub(super) fn mark_idle(&mut self) {
         self.buffer.shrink_if_empty();
         self.idle_since = Instant::now();
     }
 
-    /// When the idle time started.
+    /// When the connection became idle.
     pub(super) fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// How long it has been idle.
+    /// How long the connection has been idle.
     pub(super) fn idle_for(&self) -> Duration {
         self.idle_since.elapsed()
     }
 
-    /// Writes all pieces, one after another.
+    /// Writes all pieces in order.
     ///
     /// # Errors
     ///
-    /// When writing fails.
+    /// Fails if the connection can't be written to.
     pub(super) async fn write(&self, pieces: &[&[u8]]) -> io::Result<()> {
         write_all(&self.stream, pieces).await
     }
 
-    /// Reads once and gives the number of bytes, which is 0 at the end of the stream.
+    /// Reads once and returns the number of bytes read, which is 0 at the end of the stream.
     ///
     /// # Errors
     ///
-    /// When reading fails.
+    /// Fails if the connection can't be read from.
     pub(super) async fn fill(&mut self) -> io::Result<usize> {
         self.buffer.fill(&self.stream).await
     }
 
-    /// Reads once; the end of the stream is an error.
-    async fn fill_or_lost(&mut self) -> Result<(), AttemptError> {
+    /// Reads once; fails at the end of the stream.
+    async fn fill_or_fail(&mut self) -> Result<(), AttemptError> {
         match self.fill().await? {
             0 => Err(AttemptError::ConnectionLost),
             _ => Ok(()),
         }
     }
 
-    /// The bytes that were read and not consumed yet.
+    /// The bytes that have been read but not consumed.
     pub(super) fn unread(&self) -> &[u8] {
         self.buffer.data()
     }
 
-    /// Whether there are bytes that were read and not consumed yet.
+    /// Whether any bytes have been read but not consumed.
     pub(super) fn has_unread(&self) -> bool {
         !self.unread().is_empty()
     }
@@ -167,18 +169,19 @@
         self.buffer.consume(count);
     }
 
-    /// Moves the first `count` unread bytes out; gives the buffer that holds them and their range in it.
+    /// Moves the first `count` unread bytes out; returns the allocation that holds them and their range in
+    /// it.
     pub(super) fn detach(&mut self, count: usize) -> (Vec<u8>, Range<usize>) {
         self.buffer.detach(count)
     }
 }
 
-/// The error of a connection that could not be opened.
+/// The attempt error for a connect call that failed.
 fn connect_error(error: &io::Error) -> AttemptError {
     match error.kind() {
         io::ErrorKind::ConnectionReset => AttemptError::ConnectionLost,
         io::ErrorKind::ConnectionRefused => AttemptError::ConnectionRefused,
-        // Transient conditions of this machine, for which the endpoint is not to blame.
+        // Transient conditions on this machine, which are no failure of the endpoint.
         io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock => AttemptError::ResourceExhausted,
         _ if is_resource_exhaustion(error) => AttemptError::ResourceExhausted,
         _ => AttemptError::TimedOut,
--- a/crates/proxy/src/server/connection_limit.rs
+++ b/crates/proxy/src/server/connection_limit.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Counts the open connections, and wakes tasks that wait for one to be closed.
+/// Counts the open connections, and notifies tasks that wait for one to be closed.
 #[derive(Debug)]
 pub(super) struct ConnectionLimit {
     open: Cell<usize>,
@@ -16,23 +16,23 @@
 }
 
 impl ConnectionLimit {
-    /// A limit of at most `max` connections, none of them open.
+    /// A limit of `max` connections, none of which is open yet.
     pub(super) fn new(max: usize) -> Self {
         Self { open: Cell::new(0), max, released: Event::new() }
     }
 
-    /// Whether as many connections are open as there may be.
+    /// Whether the number of open connections has reached the limit.
     pub(super) fn is_reached(&self) -> bool {
         self.open.get() >= self.max
     }
 
-    /// Counts one more connection, for as long as the permit lives.
+    /// Counts one more open connection until the returned permit is dropped. Does not check the limit.
     pub(super) fn acquire(self: &Rc<Self>) -> ConnectionPermit {
         self.open.set(self.open.get() + 1);
         ConnectionPermit(self.clone())
     }
 
-    /// Waits until a connection is closed, but no longer than `timeout`.
+    /// Waits until a connection is closed, at most for `timeout`.
     pub(super) async fn wait_for_release(&self, timeout: Duration) {
         let released = self.released.listen();
         let expired = async {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The permit for one connection, returned on drop.
+/// The permit to have one connection open. Dropping it wakes one task that waits for a release.
 #[derive(Debug)]
 pub(super) struct ConnectionPermit(Rc<ConnectionLimit>);
 
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an endpoint: a connection, a query on it, and the response.
+//! A query exchange with an endpoint: acquires a connection, sends one query and reads the response.
 
 use super::attempt::{AttemptError, AttemptStage};
 use super::connection::Connection;
@@ -15,25 +15,25 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// The query that a server answers with its load report.
+/// The query to which a server responds with its load report.
 const LOAD_REPORT_QUERY: &str = "SHOW gauges";
 
-/// A query to an endpoint.
+/// A query that is sent to an endpoint.
 #[derive(Clone, Copy)]
 pub(super) enum Query<'a> {
-    /// For the endpoint's load report.
+    /// The query for the endpoint's load report.
     LoadReport,
     /// A client's statement.
     Statement {
-        /// The statement.
         statement: &'a ClientStatement,
-        /// The attempt that it belongs to.
+        /// The context of the attempt that sends the statement.
         context: &'a AttemptContext<'a>,
     },
 }
 
 impl Query<'_> {
-    /// Writes the query; a statement carries the remaining timeout to the server.
+    /// Writes the query. In a client's statement the timeout is replaced by `timeout`, in milliseconds and at
+    /// least 1.
     async fn write(self, connection: &Connection, timeout: Duration) -> io::Result<()> {
         match self {
             Self::LoadReport => {
@@ -66,24 +66,23 @@
 
 /// A response, and the connection whose buffer holds it.
 pub(super) struct Exchange {
-    /// The connection.
     pub(super) connection: Connection,
-    /// The response.
     pub(super) response: ServerResponse,
 }
 
-/// Sends one query and reads the response, within a timeout.
+/// Sends one query and reads the response, both within `timeout`.
 ///
 /// # Errors
 ///
-/// Without a response, the outcome that the router is told; it depends on how far the exchange had come.
+/// If there is no response, returns the outcome for the router, which depends on how far the exchange had
+/// progressed.
 pub(super) async fn exchange(
     pool: &Pool,
     endpoint: &EndpointId,
     query: Query<'_>,
     timeout: Duration,
 ) -> Result<Exchange, AttemptOutcome> {
-    let (stage, deadline) = (Cell::new(AttemptStage::Waiting), Instant::now() + timeout);
+    let (stage, deadline) = (Cell::new(AttemptStage::AwaitingResources), Instant::now() + timeout);
     let exchanged = async {
         let result = exchange_until(pool, endpoint, query, deadline, &stage).await;
         result.map_err(|error| error.outcome(stage.get()))
@@ -103,16 +102,16 @@
     stage: &Cell<AttemptStage>,
 ) -> Result<Exchange, AttemptError> {
     let mut connection = pool.acquire(endpoint, stage).await?;
-    // The endpoint may have begun to drain, or been removed, while the connection was opened.
+    // The endpoint may have begun to drain or been removed while the connection was being opened.
     if !pool.accepts_new_work(endpoint) {
-        return Err(AttemptError::EndpointWithdrawn);
+        return Err(AttemptError::EndpointNotAccepting);
     }
-    // Its data may have become too stale for a read meanwhile.
+    // In the meantime the endpoint's data may have become too stale for a read.
     if !query.is_still_eligible() {
         pool.release(endpoint, connection);
         return Err(AttemptError::NoLongerEligible);
     }
-    // The process may have been suspended.
+    // The process may have been suspended, in which case the deadline may have passed.
     let timeout = deadline.saturating_duration_since(Instant::now());
     if timeout.is_zero() {
         pool.release(endpoint, connection);
@@ -157,9 +156,9 @@
     }
 }
 
-/// Moves a response out of its connection, together with the buffer that holds it.
+/// Moves a response of `size` bytes out of the connection, together with the allocation that holds it.
 fn detach_response(connection: &mut Connection, messages: &[Range<usize>], size: usize) -> QueryResponse {
     let (buffer, detached) = connection.detach(size);
-    let moved = |message: &Range<usize>| message.start + detached.start..message.end + detached.start;
-    QueryResponse::new(buffer, messages.iter().map(moved).collect())
+    let rebased = |message: &Range<usize>| message.start + detached.start..message.end + detached.start;
+    QueryResponse::new(buffer, messages.iter().map(rebased).collect())
 }
--- a/crates/proxy/src/server/health_checks.rs
+++ b/crates/proxy/src/server/health_checks.rs
@@ -1,4 +1,5 @@
-//! Health checks on behalf of the router. Each is a task of its own, so that a silent endpoint delays no other.
+//! Health checks that the router requests. Each runs in a task of its own, so that an unresponsive endpoint
+//! does not delay the checks of others.
 
 use super::exchange::{Exchange, Query, exchange};
 use super::pool::Pool;
@@ -10,10 +11,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The timeout of a health check.
-const TIMEOUT: Duration = Duration::from_millis(250);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Carries out the requested health checks, for as long as the router runs.
+/// Carries out the health checks that are requested through `requested`, until that channel is closed.
 pub async fn run(
     executor: Rc<LocalExecutor<'static>>,
     router: Rc<RouterHandle>,
@@ -34,10 +34,10 @@
     router.dispatch(Event::HealthCheckCompleted { endpoint, outcome, elapsed, load_report });
 }
 
-/// Queries an endpoint's load report.
+/// Queries an endpoint for its load report. Returns `None` for the report if the endpoint sends no valid one.
 async fn query_load_report(pool: &Pool, endpoint: &EndpointId) -> (AttemptOutcome, Option<Vec<f64>>) {
     let Exchange { mut connection, response } =
-        match exchange(pool, endpoint, Query::LoadReport, TIMEOUT).await {
+        match exchange(pool, endpoint, Query::LoadReport, HEALTH_CHECK_TIMEOUT).await {
             Ok(exchange) => exchange,
             Err(outcome) => return (outcome, None),
         };
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The server side: connections to endpoints, the exchanges on them, and health checks.
+//! The server side of the proxy: connections to endpoints, query exchanges on them, and health checks.
 
 mod attempt;
 mod connection;
--- a/crates/proxy/src/server/pool.rs
+++ b/crates/proxy/src/server/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections to servers: idle ones are kept per endpoint, and new ones opened within a limit.
+//! The pool of connections to servers. Idle connections are kept per endpoint; new ones are opened within a
+//! limit.
 
 use super::attempt::{AttemptError, AttemptStage};
 use super::connection::Connection;
@@ -15,20 +16,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The fraction of the servers' idle timeout after which the pool closes an idle connection: a server that closes it
-/// while a request is on its way loses that request.
-const IDLE_FRACTION: f64 = 2.0 / 3.0;
+/// The fraction of the servers' idle timeout after which the pool closes an idle connection. A request that
+/// is in transit when the server closes the connection is lost.
+const MAX_IDLE_FRACTION: f64 = 2.0 / 3.0;
 /// The interval at which idle connections that can't be reused are closed.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest wait for a resource before it is tried again.
+/// The longest wait for a connection permit or a resource of this machine before it is tried again.
 const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// A connection is not reused for this long after a response while there are others: surplus messages of a server arrive
-/// right after its response, and must not be taken for the next one.
-const REST_AFTER_RESPONSE: Duration = Duration::from_millis(20);
-/// The number of idle connections that may fail the validation before a new one is opened.
+/// The time after a response during which a connection is not reused if another idle one is available.
+/// Surplus messages of a server arrive directly after its response and must not be taken for the next
+/// response.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+/// The number of idle connections that may fail validation before a new one is opened.
 const MAX_VALIDATIONS: usize = 2;
-/// The time limit of a validation, ten times what the farthest servers take. After a timeout a new connection is opened
-/// at once.
+/// The time limit of a validation, which is ten times as long as the most distant servers take. After a
+/// timeout, a new connection is opened at once.
 const VALIDATION_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// The connections to all servers.
@@ -38,12 +40,12 @@
     counters: Rc<Counters>,
     settings: ProxySettings,
     limit: Rc<ConnectionLimit>,
-    /// The idle connections of each endpoint, the most recently used last.
+    /// The idle connections of each endpoint, with the most recently used one last.
     idle: RefCell<HashMap<EndpointId, VecDeque<Connection>>>,
 }
 
 impl Pool {
-    /// A pool of at most `max_connections`.
+    /// A pool that opens at most `max_connections` connections in total.
     #[must_use]
     pub fn new(
         router: Rc<RouterHandle>,
@@ -56,7 +58,7 @@
         Self { router, directory, counters, settings, limit, idle: RefCell::default() }
     }
 
-    /// Closes idle connections that can't be reused, for ever.
+    /// Periodically closes idle connections that can't be reused; never returns.
     pub async fn run_idle_eviction(&self) {
         loop {
             Timer::after(EVICTION_INTERVAL).await;
@@ -73,7 +75,7 @@
         });
     }
 
-    /// Closes the longest idle connection; false if there is none.
+    /// Closes the connection that has been idle the longest. Returns false if there is no idle connection.
     pub fn close_one_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
@@ -83,42 +85,43 @@
         oldest.is_some_and(|connections| connections.pop_front().is_some())
     }
 
-    /// Whether the router sends new work to an endpoint.
+    /// Whether the router still sends new work to an endpoint.
     pub(super) fn accepts_new_work(&self, endpoint: &EndpointId) -> bool {
         self.router.accepts_new_work(endpoint)
     }
 
-    /// The fields of the servers' load reports, by name.
+    /// The names and kinds of the fields in the servers' load reports.
     pub(super) fn load_report_fields(&self) -> &[(String, LoadReportField)] {
         &self.settings.load_report_fields
     }
 
     fn max_idle(&self) -> Duration {
-        self.settings.server_idle_timeout.mul_f64(IDLE_FRACTION)
+        self.settings.server_idle_timeout.mul_f64(MAX_IDLE_FRACTION)
     }
 
-    /// A connection to an endpoint: an idle one that passes the validation, or else a new one. It waits while this
-    /// machine is out of resources, which must not look like a failure of the endpoint.
+    /// Returns an idle connection that passes validation, or else a new one. Waits while this machine is out
+    /// of resources, since that must not count as a failure of the endpoint.
     ///
     /// # Errors
     ///
-    /// When a new connection can't be opened.
+    /// Fails if a new connection can't be opened.
     pub(super) async fn acquire(
         &self,
         endpoint: &EndpointId,
         stage: &Cell<AttemptStage>,
     ) -> Result<Connection, AttemptError> {
         loop {
-            if let Some(connection) = self.reuse(endpoint, stage).await {
+            if let Some(connection) = self.reuse_idle(endpoint, stage).await {
                 return Ok(connection);
             }
-            stage.set(AttemptStage::Waiting);
-            let permit = self.permit().await;
+            stage.set(AttemptStage::AwaitingResources);
+            let permit = self.acquire_permit().await;
             stage.set(AttemptStage::Connecting);
             match with_timeout(self.settings.connect_timeout, self.connect(endpoint, permit)).await {
-                // The system has run out before the limit is reached: closing an idle connection may help.
+                // The system ran out of resources below the connection limit; closing an idle connection may
+                // free some.
                 Err(AttemptError::ResourceExhausted) => {
-                    stage.set(AttemptStage::Waiting);
+                    stage.set(AttemptStage::AwaitingResources);
                     self.counters.resource_waits.increment();
                     self.close_one_idle();
                     Timer::after(RESOURCE_RETRY_DELAY).await;
@@ -128,8 +131,8 @@
         }
     }
 
-    /// Returns a connection at ReadyForQuery to the pool. It is closed if it has unread bytes, or the endpoint accepts no
-    /// new work.
+    /// Returns a connection to the pool after ReadyForQuery was read from it. The connection is closed
+    /// instead if it has unread bytes or its endpoint accepts no new work.
     pub(super) fn release(&self, endpoint: &EndpointId, mut connection: Connection) {
         if connection.has_unread() || !self.accepts_new_work(endpoint) {
             return;
@@ -138,9 +141,9 @@
         self.idle.borrow_mut().entry(endpoint.clone()).or_default().push_back(connection);
     }
 
-    /// An idle connection that passes the validation. Those that fail it are closed; nothing of a request was sent on
-    /// them.
-    async fn reuse(&self, endpoint: &EndpointId, stage: &Cell<AttemptStage>) -> Option<Connection> {
+    /// Returns an idle connection that passes validation. Connections that fail it are closed; no part of a
+    /// request has been sent on them.
+    async fn reuse_idle(&self, endpoint: &EndpointId, stage: &Cell<AttemptStage>) -> Option<Connection> {
         for _ in 0..MAX_VALIDATIONS {
             let mut connection = self.take_idle(endpoint)?;
             stage.set(AttemptStage::Connecting);
@@ -157,25 +160,25 @@
         None
     }
 
-    /// The most recently used idle connection, so that the others reach their idle limit; one that has just brought a
-    /// response only if there is no other.
+    /// Removes the most recently used idle connection, so that the others reach their idle limit. A
+    /// connection within the reuse delay after a response is taken only if there is no other.
     fn take_idle(&self, endpoint: &EndpointId) -> Option<Connection> {
         let address = self.directory.address(endpoint);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(endpoint)?;
         loop {
             let last = connections.len().checked_sub(1)?;
-            let rested =
-                connections.iter().rposition(|connection| connection.idle_for() >= REST_AFTER_RESPONSE);
-            let connection = connections.remove(rested.unwrap_or(last))?;
+            let past_delay = connections.iter().rposition(|connection| connection.idle_for() >= REUSE_DELAY);
+            let connection = connections.remove(past_delay.unwrap_or(last))?;
             if connection.is_reusable(address, self.max_idle()) {
                 return Some(connection);
             }
         }
     }
 
-    /// The permit for one more connection. While the limit is reached it closes an idle one, or waits.
-    async fn permit(&self) -> ConnectionPermit {
+    /// Returns a permit for one more connection. While the limit is reached, closes an idle connection or
+    /// waits.
+    async fn acquire_permit(&self) -> ConnectionPermit {
         while self.limit.is_reached() && !self.close_one_idle() {
             self.counters.resource_waits.increment();
             self.limit.wait_for_release(RESOURCE_RETRY_DELAY).await;
@@ -194,7 +197,7 @@
     }
 }
 
-/// The result of `work`, unless it takes longer than `timeout`.
+/// Returns the result of `work`, or [`AttemptError::TimedOut`] if it takes longer than `timeout`.
 async fn with_timeout<T>(
     timeout: Duration,
     work: impl Future<Output = Result<T, AttemptError>>,
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -1,4 +1,4 @@
-//! Reading a server's response to one query, up to ReadyForQuery.
+//! Reads a server's response to one query, up to and including ReadyForQuery.
 
 use super::attempt::AttemptError;
 use super::connection::Connection;
@@ -10,36 +10,36 @@
 use pooler_routing::AttemptOutcome;
 use std::ops::Range;
 
-/// The largest response, in bytes, including notices.
+/// The maximum size in bytes of a response, including notices.
 const MAX_RESPONSE_SIZE: usize = 2 * MAX_VALUE_SIZE;
 
-/// What was read up to ReadyForQuery, or until the server closed the connection. The bytes are still in the connection's
-/// buffer; all ranges refer to it.
+/// A response that was read up to ReadyForQuery, or until the server closed the connection. Its bytes are
+/// still in the connection's buffer, to which all ranges refer.
 pub(super) struct ServerResponse {
-    /// The outcome of the attempt.
+    /// The outcome of the attempt, as derived from the response.
     pub(super) outcome: AttemptOutcome,
-    /// What the server reported about itself beside the response.
+    /// The state that the server reported along with the response.
     pub(super) server_status: ServerStatus,
-    /// The messages of the response.
+    /// The messages to forward to the client.
     pub(super) messages: Vec<Range<usize>>,
-    /// The value of the row.
+    /// The value of the single column in the response's row.
     pub(super) value: Option<Range<usize>>,
-    /// The size of all that was read.
+    /// The size in bytes of all messages that were read.
     pub(super) size: usize,
-    /// Whether the connection is at ReadyForQuery, and so can carry another query.
+    /// Whether ReadyForQuery was read, so that the connection can carry another query.
     pub(super) ready_for_query: bool,
 }
 
-/// Reads one response. A response that was complete when the connection was closed counts. After a malformed one the
-/// query may have run, as after none at all.
+/// Reads one response. A response that was complete when the connection was closed is accepted. After a
+/// malformed response, as after none, the query may have run.
 ///
 /// # Errors
 ///
-/// When the connection is closed before the response is complete, or the server violates the protocol.
+/// Fails if the connection is closed before the response is complete, or the server violates the protocol.
 pub(super) async fn read(connection: &mut Connection) -> Result<ServerResponse, AttemptError> {
     let mut reader = ResponseReader::default();
     while !reader.read_buffered(connection.unread())? {
-        // A server that sends more violates the protocol, and must not fill the memory.
+        // A larger response violates the protocol and must not exhaust the memory.
         if connection.unread().len() > MAX_RESPONSE_SIZE {
             return Err(AttemptError::ConnectionLost);
         }
@@ -58,13 +58,14 @@
     parser: ResponseParser,
     messages: Vec<Range<usize>>,
     value: Option<Range<usize>>,
-    /// The size of the messages that have been read.
+    /// The size in bytes of the messages that have been read.
     position: usize,
     ready_for_query: bool,
 }
 
 impl ResponseReader {
-    /// Reads the complete messages in `data` from the current position; true at the end of the response.
+    /// Reads the complete messages in `data` from the current position on. Returns true at the end of the
+    /// response.
     fn read_buffered(&mut self, data: &[u8]) -> Result<bool, ProtocolError> {
         while let Some(message) = parse_backend_message(&data[self.position..])? {
             let range = self.position..self.position + message.size;
@@ -87,7 +88,7 @@
         Ok(false)
     }
 
-    /// Adds a message to the response; adjacent messages share a range.
+    /// Adds a message to those that are forwarded; adjacent messages share a range.
     fn add_message(&mut self, range: Range<usize>) {
         match self.messages.last_mut().filter(|last| last.end == range.start) {
             Some(last) => last.end = range.end,
--- a/crates/proxy/src/server/statement.rs
+++ b/crates/proxy/src/server/statement.rs
@@ -1,31 +1,32 @@
-//! What the client side and the server side exchange: a client's statement, and the response to it.
+//! The data that the client side and the server side exchange: a client's statement, and a server's response.
 
 use std::ops::Range;
 
-/// A statement of a client, in the buffer that it was read into. Only its timeout is rewritten for an attempt.
+/// A client's statement in the buffer that it was read into. For an attempt, only the timeout in it is
+/// replaced.
 #[derive(Debug)]
 pub struct ClientStatement {
-    /// The buffer.
+    /// The bytes that hold the statement; the ranges refer to them.
     pub buffer: Vec<u8>,
-    /// The statement in it, with its terminating zero byte.
+    /// The range of the statement, including its terminating zero byte.
     pub text: Range<usize>,
-    /// The digits of the timeout in it.
+    /// The range of the digits of the statement's timeout.
     pub timeout_digits: Range<usize>,
 }
 
 impl ClientStatement {
-    /// The statement up to the digits of its timeout.
+    /// The part of the statement before the digits of its timeout.
     pub(super) fn before_timeout(&self) -> &[u8] {
         &self.buffer[self.text.start..self.timeout_digits.start]
     }
 
-    /// The statement from behind the digits of its timeout.
+    /// The part of the statement after the digits of its timeout, including the terminating zero byte.
     pub(super) fn after_timeout(&self) -> &[u8] {
         &self.buffer[self.timeout_digits.end..self.text.end]
     }
 }
 
-/// A server's response, in the buffer that it was read into.
+/// A server's response in the buffer that it was read into.
 #[derive(Debug)]
 pub struct QueryResponse {
     buffer: Vec<u8>,
@@ -33,7 +34,7 @@
 }
 
 impl QueryResponse {
-    /// The response whose messages stand in these parts of the buffer.
+    /// The response that consists of the messages in these ranges of `buffer`.
     pub(super) fn new(buffer: Vec<u8>, messages: Vec<Range<usize>>) -> Self {
         Self { buffer, messages }
     }
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -7,8 +7,8 @@
 /// How long discovery lets a call wait before it rejects it.
 const REJECTED_AFTER: Duration = Duration::from_secs(2);
 
-/// How many calls a fleet makes in each second after all its watches broke at once, when each call fails after it
-/// has waited two seconds.
+/// How many calls a fleet makes in each second after all its watches broke at once, when each call fails
+/// after it has waited two seconds.
 fn calls(fleet: u32, shared: bool, seconds: usize) -> Vec<usize> {
     let mut calls = vec![0; seconds];
     for seed in 0..u64::from(fleet) {
