--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The platform's endpoint list, decoded from JSON and converted to watch events. Unknown keys are ignored.
+//! The platform's endpoint list: decoded from JSON, with unknown keys ignored, and converted to watch events.
 
 use pooler_routing::membership::{EndpointClaim, RecordVersion, WatchEvent};
 use pooler_routing::settings::duration_from_millis;
@@ -10,48 +10,49 @@
 /// The platform's names of an endpoint's lifecycle states.
 const LIFECYCLE_ACTIVE: &str = "up";
 const LIFECYCLE_REMOVED: &str = "removed";
-/// The platform's name of the role that takes writes.
+/// The platform's name of the role that accepts writes.
 const ROLE_PRIMARY: &str = "master";
 
-/// A list of all endpoints, or of those that changed since an earlier list.
+/// A list of all endpoints, or of the endpoints that changed since an earlier list.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "ListDocument")]
 pub struct EndpointList {
-    /// The version of the list.
+    /// The generation of the list, from which a later watch can resume.
     pub generation: u64,
-    /// Whether the list has all endpoints.
+    /// Whether the list contains all endpoints rather than changes only.
     pub is_snapshot: bool,
-    /// The endpoints.
+    /// The endpoints of the list, in its order.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// One endpoint of a list.
+/// One endpoint of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// Its id, which is the same at every pooler and after a restart.
+    /// The endpoint's id, which is the same at every pooler and after a restart.
     pub id: EndpointId,
-    /// Its address, which may differ between poolers; `None` if the list has none that is valid.
+    /// The endpoint's address, which may differ between poolers; `None` if the list has no valid address.
     pub address: Option<SocketAddr>,
-    /// Its group, if the list has it.
+    /// The endpoint's group, if the list contains it.
     pub group: Option<GroupId>,
-    /// Its zone.
+    /// The endpoint's zone; empty if the list does not contain it.
     pub zone: String,
-    /// Its lifecycle state.
+    /// The endpoint's lifecycle state.
     pub lifecycle: Lifecycle,
-    /// Whether the list names it as the primary.
+    /// Whether the list gives the endpoint the role of the primary.
     pub primary: bool,
-    /// When it last started, if the list has it.
+    /// When the endpoint last started, if the list contains it.
     pub started_at: Option<Timestamp>,
 }
 
 impl EndpointList {
-    /// Converts the list to a watch event. The platform's messages arrive in order, so `message`, their
-    /// number, is the version of all claims.
+    /// Converts the list to a watch event. `message_number` is the number of the message that carried the
+    /// list; since the platform's messages arrive in order, it becomes the version of all claims in the
+    /// event.
     #[must_use]
-    pub fn watch_event(&self, message: i64) -> WatchEvent {
-        let claims = self.endpoints.iter().map(|endpoint| endpoint.claim(message)).collect();
+    pub fn watch_event(&self, message_number: i64) -> WatchEvent {
+        let claims = self.endpoints.iter().map(|endpoint| endpoint.claim(message_number)).collect();
         if self.is_snapshot {
-            WatchEvent::Snapshot { claims, version: message }
+            WatchEvent::Snapshot { claims, version: message_number }
         } else {
             WatchEvent::Delta(claims)
         }
@@ -59,7 +60,7 @@
 }
 
 impl ListedEndpoint {
-    fn claim(&self, message: i64) -> EndpointClaim {
+    fn claim(&self, message_number: i64) -> EndpointClaim {
         EndpointClaim {
             endpoint: self.id.clone(),
             address: self.address,
@@ -68,12 +69,12 @@
             primary: self.primary,
             started_at: self.started_at,
             zone: self.zone.clone(),
-            version: RecordVersion { change_stamp: message, ..RecordVersion::default() },
+            version: RecordVersion { change_stamp: message_number, ..RecordVersion::default() },
         }
     }
 }
 
-/// The JSON form of a list.
+/// The JSON representation of an endpoint list.
 #[derive(Deserialize)]
 struct ListDocument {
     #[serde(default)]
@@ -84,7 +85,7 @@
     instances: Vec<InstanceDocument>,
 }
 
-/// The JSON form of an endpoint.
+/// The JSON representation of an endpoint.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct InstanceDocument {
@@ -121,16 +122,16 @@
             address: document.host_port.parse().ok(),
             group: document.cell.map(|cell| GroupId(cell as i64)),
             zone: document.zone,
-            lifecycle: lifecycle(&document.lifecycle),
+            lifecycle: parse_lifecycle(&document.lifecycle),
             primary: document.part.as_deref() == Some(ROLE_PRIMARY),
             started_at: started_at_ms.map(|ms| Timestamp(duration_from_millis(ms).0)),
         }
     }
 }
 
-/// The lifecycle state of this name. An endpoint in an unknown state is treated as draining: it gets no new
-/// work.
-fn lifecycle(name: &str) -> Lifecycle {
+/// Parses the name of a lifecycle state. An unknown state is treated as draining, so that the endpoint gets
+/// no new work.
+fn parse_lifecycle(name: &str) -> Lifecycle {
     match name {
         LIFECYCLE_ACTIVE => Lifecycle::Active,
         LIFECYCLE_REMOVED => Lifecycle::Removed,
--- a/crates/proxy/src/discovery/json_stream.rs
+++ b/crates/proxy/src/discovery/json_stream.rs
@@ -1,33 +1,34 @@
-//! Splits a stream of bytes into the JSON objects in it.
+//! Splits a byte stream into the JSON objects that it contains.
 
-/// The largest object, in bytes.
+/// The maximum size of an object, in bytes.
 const MAX_OBJECT_SIZE: usize = 8 * 1024 * 1024;
 
-/// Why a stream is not a valid stream of JSON objects.
+/// The reason why a byte stream is not a valid stream of JSON objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonStreamError {
-    /// A byte between two objects that neither begins an object nor is white space.
-    #[error("byte {0} between two lists")]
+    /// A byte between two objects that is neither the start of an object nor white space.
+    #[error("unexpected byte {0} between two JSON objects")]
     UnexpectedByte(u8),
-    /// An empty line inside an object: a keep-alive followed an object that was truncated.
-    #[error("an empty line inside a list")]
+    /// An empty line inside an object, which is a keep-alive that followed a truncated object.
+    #[error("empty line inside a JSON object, which was truncated")]
     Truncated,
     /// An object exceeds the size limit.
-    #[error("a list without an end")]
-    TooLong,
+    #[error("JSON object exceeds 8 MiB")]
+    TooLarge,
 }
 
-/// Splits a stream into JSON objects, whatever their line breaks. Each byte is scanned once.
+/// Splits a byte stream into JSON objects, regardless of line breaks in and between them. Each byte is
+/// scanned once.
 #[derive(Debug, Default)]
 pub struct JsonStream {
     buffer: Vec<u8>,
     /// The number of bytes in the buffer that have been scanned.
     scanned: usize,
-    /// The number of open braces.
+    /// The number of braces that are open at the scan position.
     depth: usize,
     in_string: bool,
     after_backslash: bool,
-    /// Whether the current line has nothing but white space so far.
+    /// Whether the scanned part of the current line consists of white space only.
     line_is_empty: bool,
 }
 
@@ -37,16 +38,16 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete object, if there is one. Empty lines between objects are keep-alives, and are
-    /// skipped.
+    /// Removes and returns the next complete object, if there is one. Skips empty lines between objects,
+    /// which are keep-alives.
     ///
     /// # Errors
     ///
-    /// When the stream is not a valid stream of objects.
+    /// Fails if the stream is not a valid stream of JSON objects.
     pub fn next_object(&mut self) -> Result<Option<Vec<u8>>, JsonStreamError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
-            self.check_line(byte)?;
+            self.check_for_empty_line(byte)?;
             if self.ends_object(byte)? {
                 return Ok(Some(self.split_off_object()));
             }
@@ -55,11 +56,11 @@
             self.buffer.clear();
             self.scanned = 0;
         }
-        if self.buffer.len() > MAX_OBJECT_SIZE { Err(JsonStreamError::TooLong) } else { Ok(None) }
+        if self.buffer.len() > MAX_OBJECT_SIZE { Err(JsonStreamError::TooLarge) } else { Ok(None) }
     }
 
     /// Fails at the end of an empty line inside an object.
-    fn check_line(&mut self, byte: u8) -> Result<(), JsonStreamError> {
+    fn check_for_empty_line(&mut self, byte: u8) -> Result<(), JsonStreamError> {
         match byte {
             b'\n' if self.depth > 0 && self.line_is_empty => return Err(JsonStreamError::Truncated),
             b'\n' => self.line_is_empty = true,
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Whether the outermost object ends with this byte.
+    /// Updates the scan state for the next byte. Returns whether the outermost object ends with it.
     fn ends_object(&mut self, byte: u8) -> Result<bool, JsonStreamError> {
         match byte {
             _ if self.after_backslash => self.after_backslash = false,
@@ -86,7 +87,7 @@
         Ok(false)
     }
 
-    /// Removes the scanned bytes from the buffer.
+    /// Removes the scanned bytes, which end with a complete object, from the buffer.
     fn split_off_object(&mut self) -> Vec<u8> {
         let rest = self.buffer.split_off(self.scanned);
         self.scanned = 0;
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: watching the platform's endpoint list, and the directory of all endpoints from all sources.
+//! Discovery: the watch on the platform's endpoint list, and the directory of the endpoints from all sources.
 
 pub mod address;
 pub mod backoff;
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Watches discovery, and applies each endpoint list as soon as it has been read.
+//! Watches discovery, and applies each endpoint list as soon as it has been received.
 
 use super::address::DiscoveryAddress;
 use super::backoff::{Backoff, WatchEnd};
@@ -17,19 +17,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Keep-alives arrive every 2 s. A watch that misses one is closed and reopened: a change takes effect 6 s
-/// after it would have been reported, whether or not it arrived, which leaves time for one more call that
-/// gets no response.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The time limit of each connect, write and read. Discovery sends a keep-alive every 2 s, so a watch that
+/// misses one is closed and reopened. A change takes effect 6 s after it would have been reported, whether or
+/// not it arrived; this limit leaves time for one more call that gets no response.
+const IO_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why a watch ended.
+/// The error that ended a watch.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
     Http(#[from] HttpError),
-    #[error("an object that is no list: {0}")]
+    #[error("invalid endpoint list: {0}")]
     Json(#[from] serde_json::Error),
     #[error("{0}")]
     Stream(#[from] JsonStreamError),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Whether the error is logged: a malformed response is, a lost connection is not.
-    fn is_reported(&self) -> bool {
+    /// Whether the error is logged: invalid responses are, lost connections are not.
+    fn is_logged(&self) -> bool {
         !matches!(self, Self::Io(_))
     }
 }
@@ -56,10 +56,11 @@
     updates: EndpointUpdates,
     counters: Rc<Counters>,
     backoff: Backoff,
-    /// The version of the last list that was applied; a watch requests what follows it.
+    /// The generation of the last list that was applied. A new watch requests the changes since this
+    /// generation.
     generation: Cell<u64>,
-    /// The number of the last message, which versions its claims.
-    last_message: Cell<i64>,
+    /// The number of the last message, which is the version of the claims in it.
+    last_message_number: Cell<i64>,
 }
 
 impl Watcher {
@@ -71,21 +72,21 @@
         counters: Rc<Counters>,
         backoff: Backoff,
     ) -> Self {
-        let (generation, last_message) = (Cell::new(0), Cell::new(0));
-        Self { address, updates, counters, backoff, generation, last_message }
+        let (generation, last_message_number) = (Cell::new(0), Cell::new(0));
+        Self { address, updates, counters, backoff, generation, last_message_number }
     }
 
-    /// Applies a list to the directory and the router.
+    /// Applies an endpoint list to the directory and the router.
     pub fn apply(&self, list: &EndpointList) {
         self.generation.set(list.generation);
-        let message = self.last_message.get() + 1;
-        self.last_message.set(message);
-        self.updates.apply(PLATFORM, list.watch_event(message));
+        let message_number = self.last_message_number.get() + 1;
+        self.last_message_number.set(message_number);
+        self.updates.apply(PLATFORM, list.watch_event(message_number));
     }
 
-    /// Watches discovery for ever, starting after the last list that was applied.
+    /// Watches discovery, starting after the last list that was applied; never returns.
     pub async fn run(mut self) {
-        let mut reported = false;
+        let mut logged = false;
         loop {
             let changed = self.address.changed();
             let Some(address) = self.address.get() else {
@@ -93,41 +94,42 @@
                 continue;
             };
             self.counters.watches_opened.increment();
-            // The watch moves to a new address at once: the old one may stay silent.
-            let moved = async {
+            // A new address ends the watch at once, since the old address may no longer respond.
+            let address_changed = async {
                 changed.await;
                 Ok(())
             };
-            let result = or(self.watch(address), moved).await;
+            let result = or(self.watch(address), address_changed).await;
             let end = match &result {
                 Ok(()) => WatchEnd::Lost,
                 Err(error) => error.watch_end(),
             };
             if let Err(error) = result
-                && error.is_reported()
-                && !reported
+                && error.is_logged()
+                && !logged
             {
-                tracing::warn!("discovery: {error}");
-                reported = true;
+                tracing::warn!("discovery watch failed: {error}");
+                logged = true;
             }
-            self.pause(address, end).await;
+            self.back_off(address, end).await;
         }
     }
 
-    /// Pauses before the next watch, unless discovery has moved, or moves, away from `address`.
-    async fn pause(&mut self, address: SocketAddr, end: WatchEnd) {
+    /// Waits for the backoff delay before the next watch. Returns early if the address of discovery is no
+    /// longer `address`, or changes during the delay.
+    async fn back_off(&mut self, address: SocketAddr, end: WatchEnd) {
         if self.address.get() != Some(address) {
             return;
         }
-        let pause = self.backoff.next_pause(end);
+        let delay = self.backoff.next_delay(end);
         let changed = self.address.changed();
         let expired = async {
-            Timer::after(pause).await;
+            Timer::after(delay).await;
         };
         or(changed, expired).await;
     }
 
-    /// Runs one watch until its connection is closed or falls silent.
+    /// Runs one watch until its connection is closed, fails or times out.
     async fn watch(&self, address: SocketAddr) -> Result<(), WatchError> {
         let mut connection = WatchConnection::open(address, self.generation.get()).await?;
         let Some(head) = connection.read_head().await? else { return Ok(()) };
@@ -146,13 +148,13 @@
     }
 }
 
-/// The next part of a response's body.
+/// The result of an attempt to read the next part of a response's body.
 enum BodyPart {
-    /// A part that was appended to the stream.
+    /// A part was appended to the stream.
     Appended,
-    /// More has to be read first.
+    /// More bytes have to be read first.
     Incomplete,
-    /// The end of the body.
+    /// The body has ended.
     End,
 }
 
@@ -163,18 +165,19 @@
 }
 
 impl WatchConnection {
-    /// Connects to discovery and requests what follows `generation`.
+    /// Connects to discovery and requests the changes since `generation`.
     async fn open(address: SocketAddr, generation: u64) -> io::Result<Self> {
-        let stream = within_silence_timeout(Async::<TcpStream>::connect(address)).await?;
+        let stream = with_io_timeout(Async::<TcpStream>::connect(address)).await?;
         let request = format!(
             "GET /discovery/hosts?follow=1&since={generation} HTTP/1.1\r\nHost: {address}\r\n\
              Accept: application/json\r\n\r\n"
         );
-        within_silence_timeout(write_all(&stream, &[request.as_bytes()])).await?;
+        with_io_timeout(write_all(&stream, &[request.as_bytes()])).await?;
         Ok(Self { stream, buffer: ReadBuffer::default() })
     }
 
-    /// Reads the head of the response; `None` if the connection is closed before.
+    /// Reads the head of the response. Returns `None` if the connection is closed before the head is
+    /// complete.
     async fn read_head(&mut self) -> Result<Option<http::Head>, WatchError> {
         loop {
             if let Some(head) = http::head(self.buffer.data())? {
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Moves the next part of the body to `stream`.
+    /// Moves the next part of the body from the read buffer to `stream`.
     fn move_body_part(&mut self, chunked: bool, stream: &mut JsonStream) -> Result<BodyPart, HttpError> {
         let data = self.buffer.data();
         let (part, size) = match chunked {
@@ -204,17 +207,17 @@
         Ok(BodyPart::Appended)
     }
 
-    /// Reads once and gives the number of bytes, which is 0 at the end of the connection.
+    /// Reads once and returns the number of bytes read, which is 0 at the end of the stream.
     async fn fill(&mut self) -> io::Result<usize> {
         self.buffer.shrink_if_empty();
-        within_silence_timeout(self.buffer.fill(&self.stream)).await
+        with_io_timeout(self.buffer.fill(&self.stream)).await
     }
 }
 
-/// The result of `work`, or an error if it takes longer than the silence timeout.
-async fn within_silence_timeout<T>(work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+/// Returns the result of `work`, or an error if it takes longer than the I/O timeout.
+async fn with_io_timeout<T>(work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let expired = async {
-        Timer::after(SILENCE_TIMEOUT).await;
+        Timer::after(IO_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     or(work, expired).await
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of the process: signals, reload of the configuration, and graceful shutdown.
+//! The lifecycle of the process: signal handling, configuration reload and graceful shutdown.
 
 pub(crate) mod reload;
 pub mod shutdown;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration on SIGHUP, which applies the address of discovery.
+//! Configuration reload on SIGHUP, which applies the address of discovery only.
 
 use crate::config::Config;
 use crate::discovery::address::DiscoveryAddress;
@@ -9,43 +9,44 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a file that can't be read, or is truncated, is read again: it may be being replaced. What
-/// discovery reports at its new address has to take effect within 4 s of the signal.
+/// How long reading is retried if the file can't be read or is truncated, since it may be in the process of
+/// being replaced. Changes that discovery reports at its new address have to take effect within 4 s of the
+/// signal.
 const RETRY_WINDOW: Duration = Duration::from_secs(3);
-/// The first pause before the file is read again; each further one is twice as long.
+/// The delay before the first retry; it doubles with each further retry.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Reads the configuration again.
+/// Reloads the configuration file.
 pub(crate) struct Reloader {
     config_file: PathBuf,
     discovery: Rc<DiscoveryAddress>,
     counters: Rc<Counters>,
-    /// The number of reloads requested so far.
-    requested: Cell<u64>,
+    /// The number of reloads that have been requested, which is also the number of the latest one.
+    requested_reloads: Cell<u64>,
 }
 
 impl Reloader {
-    /// One that reads `config_file`, and sets the address of `discovery`.
+    /// Creates a reloader that reads `config_file` and sets the address in `discovery`.
     pub(crate) fn new(config_file: PathBuf, discovery: Rc<DiscoveryAddress>, counters: Rc<Counters>) -> Self {
-        Self { config_file, discovery, counters, requested: Cell::new(0) }
+        Self { config_file, discovery, counters, requested_reloads: Cell::new(0) }
     }
 
-    /// Reads the configuration again and applies the address of discovery. All other changes take effect at
-    /// the next start; endpoints, connections and requests in flight are unaffected. A file that can't be
-    /// used changes nothing; one that may be being replaced is read again for a while, or until the next
-    /// signal.
+    /// Reads the configuration file and applies the address of discovery. All other changes in the file take
+    /// effect at the next start; endpoints, connections and requests in flight are unaffected. An invalid
+    /// file changes nothing. If the file may be in the process of being replaced, reading is retried until
+    /// the retry window ends or the next reload is requested.
     pub(crate) async fn reload(self: Rc<Self>) {
-        let (started, reload) = (Instant::now(), self.requested.get() + 1);
-        self.requested.set(reload);
+        let (started, reload_number) = (Instant::now(), self.requested_reloads.get() + 1);
+        self.requested_reloads.set(reload_number);
         let mut delay = FIRST_RETRY_DELAY;
-        let mut reported = false;
-        while self.requested.get() == reload {
+        let mut logged = false;
+        while self.requested_reloads.get() == reload_number {
             match Config::load(&self.config_file) {
                 Ok(config) => return self.apply(&config),
                 Err(error) => {
-                    if !reported {
+                    if !logged {
                         tracing::warn!("configuration kept as it was: {error}");
-                        reported = true;
+                        logged = true;
                     }
                     if !error.is_transient() || started.elapsed() >= RETRY_WINDOW {
                         return;
--- a/crates/proxy/src/lifecycle/signals.rs
+++ b/crates/proxy/src/lifecycle/signals.rs
@@ -1,5 +1,5 @@
-//! Signals: SIGTERM and SIGINT shut the pooler down, SIGHUP reads the configuration again, SIGUSR1 logs the
-//! status report.
+//! Signal handling: SIGTERM and SIGINT shut the pooler down, SIGHUP reloads the configuration, SIGUSR1 logs
+//! the status report.
 
 use crate::lifecycle::reload::Reloader;
 use crate::lifecycle::shutdown::Shutdown;
@@ -17,24 +17,24 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The interval at which the flags are checked. The signal pipe wakes the task at once, but the handler's
-/// write to it can fail.
+/// The interval at which the flags are checked in any case. The signal pipe wakes the task at once, but the
+/// signal handler's write to the pipe can fail.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after an error of the pipe, so that one that persists is not retried in a busy loop.
+/// The delay after an error of the signal pipe, so that a persistent error does not cause a busy loop.
 const ERROR_DELAY: Duration = Duration::from_millis(1);
 
-/// What a signal requests.
+/// A command that the pooler carries out on a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Command {
-    /// Log the status report.
+pub enum SignalCommand {
+    /// Log the status report (SIGUSR1).
     LogStatus,
-    /// Read the configuration again.
+    /// Reload the configuration (SIGHUP).
     Reload,
-    /// Shut down.
+    /// Shut the pooler down gracefully (SIGTERM or SIGINT).
     ShutDown,
 }
 
-/// The commands that signals have requested and that were not taken yet. Only a signal can set one.
+/// The commands that signals have requested and that have not been taken yet. Only a signal can set one.
 #[derive(Debug, Default)]
 pub struct PendingCommands {
     log_status: Arc<AtomicBool>,
@@ -43,11 +43,11 @@
 }
 
 impl PendingCommands {
-    /// Registers handlers for the process's signals.
+    /// Registers handlers for the signals that request a command.
     ///
     /// # Errors
     ///
-    /// When a handler can't be set.
+    /// Fails if a signal handler can't be registered.
     pub fn register() -> io::Result<Self> {
         let pending = Self::default();
         let flags = [
@@ -62,37 +62,38 @@
         Ok(pending)
     }
 
-    /// Takes the commands that are pending, each once; the shutdown comes last.
-    pub fn take(&self) -> impl Iterator<Item = Command> {
+    /// Takes the pending commands, each once, with the shutdown last.
+    pub fn take(&self) -> impl Iterator<Item = SignalCommand> {
         let flags = [
-            (&self.log_status, Command::LogStatus),
-            (&self.reload, Command::Reload),
-            (&self.shut_down, Command::ShutDown),
+            (&self.log_status, SignalCommand::LogStatus),
+            (&self.reload, SignalCommand::Reload),
+            (&self.shut_down, SignalCommand::ShutDown),
         ];
         flags.into_iter().filter_map(|(flag, command)| flag.swap(false, Ordering::SeqCst).then_some(command))
     }
 }
 
-/// Carries out what signals request.
+/// Carries out the commands that signals request.
 pub(crate) struct SignalHandler {
-    /// Runs reloads and the shutdown.
+    /// Runs the signal task, the reloads and the shutdown.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// Logged on request.
+    /// The report that is logged on SIGUSR1.
     pub(crate) status_report: Rc<StatusReport>,
-    /// Reads the configuration again.
+    /// Reloads the configuration on SIGHUP.
     pub(crate) reloader: Rc<Reloader>,
-    /// Shuts the pooler down.
+    /// Runs on the first SIGTERM or SIGINT.
     pub(crate) shutdown: Shutdown,
 }
 
 impl SignalHandler {
-    /// Handles signals from now on, in a task of the executor.
+    /// Starts a task of the executor that handles signals from now on.
     ///
     /// # Errors
     ///
-    /// When a handler can't be set.
+    /// Fails if a signal handler can't be registered.
     pub(crate) fn start(self) -> io::Result<()> {
-        // The flags are registered first: they are set by the time that the pipe wakes.
+        // The flags are registered before the pipe, so that a flag is set by the time the pipe wakes the
+        // task.
         let pending = PendingCommands::register()?;
         let signals =
             retry_transient(|| Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1]))?;
@@ -107,10 +108,10 @@
         loop {
             for command in pending.take() {
                 match command {
-                    Command::LogStatus => status_report.log(),
-                    Command::Reload => executor.spawn(reloader.clone().reload()).detach(),
-                    // Repeated requests change nothing.
-                    Command::ShutDown => {
+                    SignalCommand::LogStatus => status_report.log(),
+                    SignalCommand::Reload => executor.spawn(reloader.clone().reload()).detach(),
+                    // Only the first request starts the shutdown.
+                    SignalCommand::ShutDown => {
                         if let Some(shutdown) = shutdown.take() {
                             executor.spawn(shutdown.run()).detach();
                         }
@@ -122,7 +123,7 @@
     }
 }
 
-/// Waits until a signal may have arrived.
+/// Waits until a signal has arrived or the check interval has passed.
 async fn wait_for_signal(signals: &mut Signals) {
     let arrived = async {
         if !matches!(signals.next().await, Some(Ok(_))) {
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,66 +1,70 @@
-//! When a pooler opens its watch again, and how it reads the objects of one.
+//! Tests of the backoff between discovery watches, and of splitting a watch's stream into JSON objects.
 
 use pooler_proxy::discovery::backoff::{Backoff, WatchEnd};
 use pooler_proxy::discovery::json_stream::{JsonStream, JsonStreamError};
 use std::time::Duration;
 
-/// How long discovery lets a call wait before it rejects it.
+/// How long a call waits at discovery before it is rejected.
 const REJECTED_AFTER: Duration = Duration::from_secs(2);
 
-/// How many calls a fleet makes in each second after all its watches broke at once, when each call fails
-/// after it has waited two seconds.
-fn calls(fleet: u32, shared: bool, seconds: usize) -> Vec<usize> {
+/// The number of calls that a fleet makes in each second after all its watches were lost at the same time, if
+/// every call is rejected after 2 s.
+fn calls_per_second(fleet_size: u32, shared_service: bool, seconds: usize) -> Vec<usize> {
     let mut calls = vec![0; seconds];
-    for seed in 0..u64::from(fleet) {
-        let mut backoff = Backoff::new(seed, fleet, shared);
-        let mut at = backoff.next_pause(WatchEnd::Lost);
-        while let Some(second) = calls.get_mut(at.as_secs() as usize) {
+    for seed in 0..u64::from(fleet_size) {
+        let mut backoff = Backoff::new(seed, fleet_size, shared_service);
+        let mut time = backoff.next_delay(WatchEnd::Lost);
+        while let Some(second) = calls.get_mut(time.as_secs() as usize) {
             *second += 1;
-            at += REJECTED_AFTER + backoff.next_pause(WatchEnd::Rejected);
+            time += REJECTED_AFTER + backoff.next_delay(WatchEnd::Rejected);
         }
     }
     calls
 }
 
 #[test]
-fn a_fleet_that_shares_one_service_reconnects_spread_out() {
-    let calls = calls(100, true, 40);
+fn a_fleet_that_shares_one_service_spreads_its_reconnects() {
+    let calls = calls_per_second(100, true, 40);
     assert!(calls.iter().all(|calls| *calls <= 45), "{calls:?}");
-    assert!(calls[3..].iter().all(|calls| *calls >= 10), "{calls:?}: no pooler gives up");
+    assert!(calls[3..].iter().all(|calls| *calls >= 10), "{calls:?}: all poolers keep reconnecting");
 }
 
 #[test]
-fn a_fleet_whose_calls_were_rejected_reconnects_spread_out() {
-    let calls = calls(100, false, 40);
+fn a_fleet_whose_calls_are_rejected_spreads_its_reconnects() {
+    let calls = calls_per_second(100, false, 40);
     assert!(calls[2..].iter().all(|calls| *calls <= 45), "{calls:?}");
 }
 
 #[test]
-fn a_lost_watch_is_reopened_at_once_however_large_the_fleet() {
-    // What the agent knows binds after the grace of a drain: half a second here, a quarter at other sites.
-    for fleet in [1, 100, 1_000] {
-        let mut backoff = Backoff::new(2, fleet, false);
-        backoff.next_pause(WatchEnd::Rejected);
-        assert!((0..50).all(|_| backoff.next_pause(WatchEnd::Lost) <= Duration::from_millis(80)));
+fn a_watch_lost_at_the_poolers_own_agent_is_reopened_within_80_ms() {
+    // A change that the agent knows of takes effect after the drain grace: 500 ms here, 250 ms at other
+    // sites.
+    for fleet_size in [1, 100, 1_000] {
+        let mut backoff = Backoff::new(2, fleet_size, false);
+        backoff.next_delay(WatchEnd::Rejected);
+        assert!((0..50).all(|_| backoff.next_delay(WatchEnd::Lost) <= Duration::from_millis(80)));
     }
 }
 
 #[test]
 fn after_any_failure_the_next_call_is_made_within_six_seconds_of_a_change() {
-    for (fleet, shared) in [(1, true), (100, false), (1_000, false), (1_000, true)] {
-        let mut backoff = Backoff::new(3, fleet, shared);
+    for (fleet_size, shared_service) in [(1, true), (100, false), (1_000, false), (1_000, true)] {
+        let mut backoff = Backoff::new(3, fleet_size, shared_service);
         let longest = (0..200)
-            .map(|at| backoff.next_pause(if at % 2 == 0 { WatchEnd::Rejected } else { WatchEnd::Lost }))
+            .map(|at| backoff.next_delay(if at % 2 == 0 { WatchEnd::Rejected } else { WatchEnd::Lost }))
             .max()
             .unwrap();
-        assert!(REJECTED_AFTER + longest <= Duration::from_millis(5_100), "{fleet} {shared}: {longest:?}");
+        assert!(
+            REJECTED_AFTER + longest <= Duration::from_millis(5_100),
+            "{fleet_size} {shared_service}: {longest:?}"
+        );
     }
 }
 
-/// All objects of a stream that comes in pieces of this size.
-fn objects(bytes: &[u8], size: usize) -> Result<Vec<String>, JsonStreamError> {
+/// Splits a stream that arrives in pieces of `piece_size` bytes into its objects.
+fn split_objects(bytes: &[u8], piece_size: usize) -> Result<Vec<String>, JsonStreamError> {
     let (mut stream, mut found) = (JsonStream::default(), Vec::new());
-    for piece in bytes.chunks(size) {
+    for piece in bytes.chunks(piece_size) {
         stream.push(piece);
         while let Some(object) = stream.next_object()? {
             found.push(String::from_utf8(object).unwrap().trim().to_owned());
@@ -70,31 +74,38 @@
 }
 
 #[test]
-fn lists_are_read_on_one_line_or_indented_and_split_anywhere() {
+fn objects_are_found_regardless_of_line_breaks_and_piece_size() {
     let plain = r#"{"generation":1,"instances":[{"instanceId":"a}\"{"}]}"#;
     let indented =
         "{\n  \"generation\": 2,\n  \"instances\": [\n    {\n      \"zone\": \"\\\\\"\n    }\n  ]\n}";
     let stream = format!("\n{plain}\n\r\n{indented}\n\n{plain}{plain}\n");
-    for size in [1, 2, 3, 7, 1_000] {
-        assert_eq!(objects(stream.as_bytes(), size).unwrap(), [plain, indented, plain, plain], "{size}");
+    for piece_size in [1, 2, 3, 7, 1_000] {
+        assert_eq!(
+            split_objects(stream.as_bytes(), piece_size).unwrap(),
+            [plain, indented, plain, plain],
+            "{piece_size}"
+        );
     }
 }
 
 #[test]
-fn an_invalid_stream_is_detected_before_much_of_it_is_buffered() {
-    assert_eq!(objects(b"\n\nnoise", 2), Err(JsonStreamError::UnexpectedByte(b'n')));
-    assert_eq!(objects(b"}", 1), Err(JsonStreamError::UnexpectedByte(b'}')));
-    // A truncated list hides no later one: the keep-alive line comes inside it.
-    assert_eq!(objects(b"{\"generation\":1,\n\n{\"generation\":2}\n\n", 5), Err(JsonStreamError::Truncated));
+fn an_invalid_stream_is_rejected_before_much_of_it_is_buffered() {
+    assert_eq!(split_objects(b"\n\nnoise", 2), Err(JsonStreamError::UnexpectedByte(b'n')));
+    assert_eq!(split_objects(b"}", 1), Err(JsonStreamError::UnexpectedByte(b'}')));
+    // A truncated object does not hide a later one: the keep-alive line inside it is detected.
+    assert_eq!(
+        split_objects(b"{\"generation\":1,\n\n{\"generation\":2}\n\n", 5),
+        Err(JsonStreamError::Truncated)
+    );
     let endless = [&b"{\"instances\":\""[..], &vec![b'x'; 9 * 1024 * 1024]].concat();
-    assert_eq!(objects(&endless, 64 * 1024), Err(JsonStreamError::TooLong));
+    assert_eq!(split_objects(&endless, 64 * 1024), Err(JsonStreamError::TooLarge));
 }
 
 #[test]
-fn a_call_that_never_left_this_machine_is_retried_at_once() {
-    // Nothing reached the shared service: its window is for calls that it has to answer.
-    for (fleet, shared) in [(1, true), (1_000, true), (1_000, false)] {
-        let mut backoff = Backoff::new(4, fleet, shared);
-        assert!((0..50).all(|_| backoff.next_pause(WatchEnd::NotSent) <= Duration::from_millis(80)));
+fn a_call_that_was_not_sent_is_retried_within_80_ms() {
+    // The call put no load on the shared service, so the fleet's window does not apply.
+    for (fleet_size, shared_service) in [(1, true), (1_000, true), (1_000, false)] {
+        let mut backoff = Backoff::new(4, fleet_size, shared_service);
+        assert!((0..50).all(|_| backoff.next_delay(WatchEnd::NotSent) <= Duration::from_millis(80)));
     }
 }
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -1,4 +1,4 @@
-//! What takes precedence when a client disconnects while an attempt is being made.
+//! Tests of the precedence between a client's disconnect and the attempt in progress.
 
 use futures_lite::future::{block_on, poll_fn, poll_once};
 use pooler_proxy::metrics::Counters;
@@ -17,7 +17,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// A transport whose connection comes up at the second poll, and which writes at once then.
+/// A transport whose connection is established at the second poll, in which it also writes the query.
 #[derive(Default)]
 struct ConnectsAtSecondPoll {
     polls: Cell<u32>,
@@ -48,13 +48,14 @@
     }
 }
 
-/// A transport that writes at the first poll, and has a response once it is told.
+/// A transport that writes the query at the first poll, and completes with a response once `responded` is
+/// set.
 #[derive(Default)]
-struct WritesAtOnce {
+struct WritesAtFirstPoll {
     responded: Cell<bool>,
 }
 
-impl AttemptTransport for WritesAtOnce {
+impl AttemptTransport for WritesAtFirstPoll {
     type Query = ();
     type Response = &'static str;
 
@@ -107,7 +108,7 @@
     }
 }
 
-/// Aborts a request once its client is disconnected.
+/// Completes with an abort once `disconnected` is set.
 fn aborted_once(disconnected: &Cell<bool>) -> impl Future<Output = AbortReason> + '_ {
     poll_fn(|_| match disconnected.get() {
         true => Poll::Ready(AbortReason::ClientDisconnected),
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn nothing_is_written_once_the_client_is_known_to_have_disconnected() {
+fn no_query_is_written_once_the_client_is_known_to_have_disconnected() {
     block_on(async {
         let router = router_with_one_endpoint();
         let (transport, disconnected) = (ConnectsAtSecondPoll::default(), Cell::new(false));
@@ -124,15 +125,15 @@
         let aborted = aborted_once(&disconnected);
         let mut serving = pin!(serve(&router, &transport, &request, aborted));
         assert!(poll_once(serving.as_mut()).await.is_none());
-        assert_eq!(transport.polls.get(), 1, "its connection is being opened");
-        // Both are ready at the next poll, as after the process was held up.
+        assert_eq!(transport.polls.get(), 1, "the connection is still being opened");
+        // At the next poll both the connection and the disconnect are ready, as after a stall of the process.
         disconnected.set(true);
         let response = poll_once(serving.as_mut()).await;
         assert!(
             matches!(response, Some(FinalResponse::ClientDisconnected { in_doubt_at: None })),
             "{response:?}"
         );
-        assert!(!transport.written.get(), "nothing is begun for a client that has disconnected");
+        assert!(!transport.written.get(), "a query was written for a client that had disconnected");
     });
 }
 
@@ -140,7 +141,7 @@
 fn a_response_that_has_arrived_takes_precedence_over_a_disconnect() {
     block_on(async {
         let router = router_with_one_endpoint();
-        let (transport, disconnected) = (WritesAtOnce::default(), Cell::new(false));
+        let (transport, disconnected) = (WritesAtFirstPoll::default(), Cell::new(false));
         let request = request(&router);
         let mut serving = pin!(serve(&router, &transport, &request, aborted_once(&disconnected)));
         assert!(poll_once(serving.as_mut()).await.is_none());
@@ -152,10 +153,10 @@
 }
 
 #[test]
-fn a_request_that_was_written_is_in_doubt_once_its_client_disconnects() {
+fn a_written_request_is_in_doubt_after_its_client_disconnects() {
     block_on(async {
         let router = router_with_one_endpoint();
-        let (transport, disconnected) = (WritesAtOnce::default(), Cell::new(false));
+        let (transport, disconnected) = (WritesAtFirstPoll::default(), Cell::new(false));
         let request = request(&router);
         let mut serving = pin!(serve(&router, &transport, &request, aborted_once(&disconnected)));
         assert!(poll_once(serving.as_mut()).await.is_none());
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,19 +1,19 @@
-//! The stages of a graceful shutdown, for every deadline that clients may have.
+//! Tests of the schedule of a graceful shutdown over the range of request deadlines.
 
 use pooler_proxy::lifecycle::shutdown::Schedule;
 use std::time::Duration;
 
-/// New connections keep coming for so long after SIGTERM.
-const ARRIVALS: Duration = Duration::from_millis(400);
-/// The process may be held up for so long, and the last responses have to be written.
+/// How long new connections arrive after SIGTERM.
+const ARRIVAL_PERIOD: Duration = Duration::from_millis(400);
+/// The time that the last responses need, which includes a possible stall of the process.
 const PROCESS_STALL: Duration = Duration::from_millis(150);
 
 #[test]
-fn the_stages_of_a_shutdown_follow_each_other_and_leave_time_for_the_last_responses() {
+fn the_stages_are_in_order_and_leave_time_for_the_last_responses() {
     for ms in (0..5_000).step_by(10) {
         let deadline = Duration::from_millis(ms);
         let Schedule { closing_idle, not_accepting, terminating, terminated } = Schedule::new(deadline);
-        assert!(ARRIVALS <= closing_idle, "{ms}: late arrivals are served");
+        assert!(ARRIVAL_PERIOD <= closing_idle, "{ms}: late arrivals are served");
         assert!(
             closing_idle <= not_accepting && not_accepting <= terminating,
             "{ms}: {closing_idle:?} {not_accepting:?} {terminating:?}"
