--- a/crates/proxy/src/request/client_request.rs
+++ b/crates/proxy/src/request/client_request.rs
@@ -1,4 +1,4 @@
-//! A client's request, and the reasons for which it can be aborted.
+//! A client's request, and the reasons why it can be aborted.
 
 use pooler_routing::{ClassId, GroupId, SessionKey, Timestamp};
 
--- a/crates/proxy/src/router_handle.rs
+++ b/crates/proxy/src/router_handle.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// If a timer fires later than this, the process is taken to have been suspended.
+/// If a timer fires more than this after it was due, the process is taken to have been suspended.
 const SUSPENSION_THRESHOLD: TimeDelta = TimeDelta::from_millis(5);
 /// Long enough for the reactor to poll once and wake the tasks whose sockets are ready.
 const REACTOR_POLL_DELAY: Duration = Duration::from_millis(1);
@@ -78,7 +78,7 @@
         self.clock.now()
     }
 
-    /// The counters that the router and its tasks update.
+    /// The counters that this handle and other tasks of the proxy increment.
     #[must_use]
     pub fn counters(&self) -> &Rc<Counters> {
         &self.counters
