--- a/crates/interrupted-io/src/lib.rs
+++ b/crates/interrupted-io/src/lib.rs
@@ -1,18 +1,18 @@
-//! A byte stream that retries calls that a signal interrupted (`EINTR`).
+//! A byte stream wrapper that retries I/O calls interrupted by a signal (`EINTR`).
 //!
-//! `async-io` passes `ErrorKind::Interrupted` on to its caller, and so do hyper and rustls. All of them treat it as the
-//! loss of the connection, though nothing has happened to the connection.
+//! `async-io`, hyper and rustls pass `ErrorKind::Interrupted` on to their callers and treat it as a lost
+//! connection, although the connection is intact.
 
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A stream that retries interrupted calls of the stream that it wraps.
+/// Wraps a stream and repeats each of its calls that fails with `ErrorKind::Interrupted`.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInterrupted<S>(pub S);
 
-/// Repeats `call` until it ends in something other than an interruption.
+/// Repeats `call` until its result is anything but `ErrorKind::Interrupted`.
 fn retry_interrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match call() {
--- a/crates/interrupted-io/tests/interrupted.rs
+++ b/crates/interrupted-io/tests/interrupted.rs
@@ -1,4 +1,4 @@
-//! A stream of which every other call is interrupted loses no bytes.
+//! `RetryInterrupted` loses no bytes on a stream that interrupts every other call.
 
 use futures_lite::future::block_on;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A stream in memory; each call is interrupted once before it is carried out.
+/// An in-memory stream that interrupts each call once before it performs the call.
 #[derive(Default)]
 struct InterruptedStream {
     unread: Vec<u8>,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn interrupted_calls_are_retried() {
+fn interrupted_calls_are_retried_without_loss_of_bytes() {
     let mut stream = RetryInterrupted(InterruptedStream {
         unread: b"all that was sent".to_vec(),
         ..InterruptedStream::default()
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Assembles a pooler: creates its parts from the configuration, connects them, and starts their tasks.
+//! Assembles a pooler: creates its components from the configuration, connects them, and starts their tasks.
 
 use crate::client::accept;
 use crate::client::cancellation::CancellationKeys;
@@ -29,23 +29,23 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The size of the buffer for bytes that are read only to be discarded.
+/// The size of the buffer for bytes that are read only to be discarded, in bytes.
 const DISCARD_BUFFER_SIZE: usize = 64 * 1024;
-/// When a client should retry that found no free slot: by then other clients have been served.
+/// The retry-after for clients rejected for lack of a free slot: by then other clients have been served.
 const NO_SLOT_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(250);
 
-/// Why a pooler can't start.
+/// The reason why a pooler can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// It can't listen for clients.
+    /// The listening socket for clients can't be opened.
     #[error("listening on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// It can't handle signals.
-    #[error("signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("installing signal handlers: {0}")]
     Signals(std::io::Error),
 }
 
-/// The parts that the pooler keeps once its tasks are started.
+/// The components that the pooler keeps once its tasks are started.
 pub(crate) struct Assembly {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) stages: Rc<ShutdownStages>,
@@ -55,24 +55,25 @@
 }
 
 impl Assembly {
-    /// Creates the parts, listens for clients and signals, and starts all tasks.
+    /// Creates the components, listens for clients and signals, and starts all tasks.
     pub(crate) fn start(config: &Config, config_file: PathBuf) -> Result<Self, StartError> {
-        let (parts, health_checks) = Parts::new(config);
-        let watcher = parts.watcher(config);
-        // The endpoint list of the configuration comes first: the pooler serves from it while discovery is down.
+        let (components, health_checks) = Components::new(config);
+        let watcher = components.watcher(config);
+        // The configured endpoint list is applied before discovery reports: the pooler serves from it while
+        // discovery is down.
         watcher.apply(&config.known);
         let listener = retry_transient(|| accept::listen(config.listen))
             .map_err(|error| StartError::Listen(config.listen, error))?;
         let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
-        parts.signal_handler(config, config_file).start().map_err(StartError::Signals)?;
-        parts.spawn_tasks(parts.client_context(config), health_checks, watcher, listener);
-        let Parts { executor, stages, status_report, updates, .. } = parts;
+        components.signal_handler(config, config_file).start().map_err(StartError::Signals)?;
+        components.spawn_tasks(components.client_context(config), health_checks, watcher, listener);
+        let Components { executor, stages, status_report, updates, .. } = components;
         Ok(Self { executor, stages, status_report, updates, listening })
     }
 }
 
-/// The parts that several tasks share.
-struct Parts {
+/// The components that several tasks share.
+struct Components {
     executor: Rc<LocalExecutor<'static>>,
     counters: Rc<Counters>,
     status_report: Rc<StatusReport>,
@@ -85,8 +86,8 @@
     updates: EndpointUpdates,
 }
 
-impl Parts {
-    /// The parts, and the receiver of the endpoints to check.
+impl Components {
+    /// Creates the components; also returns the receiver of the endpoints that need a health check.
     fn new(config: &Config) -> (Self, async_channel::Receiver<EndpointId>) {
         let counters = Rc::new(Counters::default());
         let (health_checks, requested_health_checks) = async_channel::unbounded();
@@ -104,7 +105,7 @@
         let in_doubt_writes = Rc::new(InDoubtWrites::default());
         let status_report = Rc::new(StatusReport::new(counters.clone()));
         status_report.add_section(in_doubt_writes.clone());
-        let parts = Self {
+        let components = Self {
             executor: Rc::new(LocalExecutor::new()),
             counters,
             status_report,
@@ -116,7 +117,7 @@
             in_doubt_writes,
             discovery: Rc::new(DiscoveryAddress::new(config.discovery)),
         };
-        (parts, requested_health_checks)
+        (components, requested_health_checks)
     }
 
     fn watcher(&self, config: &Config) -> Watcher {
@@ -152,7 +153,7 @@
             longest_deadline: config.proxy.longest_deadline,
             open_request_ids: OpenRequestIds::default(),
             cancellation_keys: CancellationKeys::default(),
-            full_retry_after: no_slot_retry_after(&config.settings),
+            no_slot_retry_after: no_slot_retry_after(&config.settings),
             read_ahead: Rc::new(ReadAheadBudget::new(DISCARD_BUFFER_SIZE)),
         }
     }
@@ -176,12 +177,13 @@
     }
 }
 
-/// A request class as the client side knows it.
+/// Reduces a request class to the properties that the client side uses.
 fn request_class(class: &pooler_routing::RequestClass) -> RequestClass {
     RequestClass { name: class.name.clone(), operation: class.operation }
 }
 
-/// When a client should retry that found no free slot; `None` where clients are not told.
+/// The retry-after for clients rejected for lack of a free slot; `None` if the settings don't allow a
+/// retry-after.
 fn no_slot_retry_after(settings: &Settings) -> Option<TimeDelta> {
     settings.retry_after_allowed.then(|| NO_SLOT_RETRY_AFTER.min(settings.max_retry_after))
 }
--- a/crates/proxy/src/buffer.rs
+++ b/crates/proxy/src/buffer.rs
@@ -1,4 +1,4 @@
-//! Read buffers that shrink while idle, and vectored writes.
+//! Read buffers that release large allocations while idle, and vectored writes.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -10,31 +10,31 @@
 use std::ops::Range;
 use std::time::Instant;
 
-/// The capacity that a buffer begins with, in bytes.
+/// The initial capacity of a buffer, in bytes.
 const INITIAL_CAPACITY: usize = 2 * 1024;
 /// The largest capacity that an idle buffer keeps, in bytes.
 const MAX_IDLE_CAPACITY: usize = 4 * 1024;
-/// The number of reads whose arrival times are kept; later reads count as having arrived with the last of them.
+/// The number of reads whose arrival times are kept; bytes of later reads get the time of the last of these.
 const MAX_ARRIVALS: usize = 256;
 
-/// When the bytes of the stream up to a position had arrived.
+/// The time at which the bytes of the stream up to a position had arrived.
 #[derive(Debug)]
 struct Arrival {
-    /// The position in the stream behind the last byte of the read.
+    /// The position in the stream after the last byte of the read.
     end: usize,
     time: Instant,
 }
 
-/// Bytes that were read from a stream and not consumed yet.
+/// A buffer of bytes that were read from a stream and not consumed yet, with their arrival times.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    /// Where the unconsumed bytes begin and end in `bytes`.
+    /// The offset of the first unconsumed byte in `bytes`; `end` is the offset after the last one.
     start: usize,
     end: usize,
     /// The position in the stream of the first unconsumed byte.
     consumed: usize,
-    /// The arrival times of the unconsumed bytes, in the order of the stream.
+    /// The arrival times of the unconsumed bytes, in stream order.
     arrivals: VecDeque<Arrival>,
 }
 
@@ -45,7 +45,7 @@
         &self.bytes[self.start..self.end]
     }
 
-    /// Consumes the first `count` bytes.
+    /// Consumes the first `count` bytes, or all bytes if there are fewer.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len());
         self.start += count;
@@ -53,7 +53,7 @@
         self.rewind_if_empty();
     }
 
-    /// Drops all but the first `count` bytes, as if they had never been read.
+    /// Drops all bytes after the first `count`, as if they had never been read.
     pub fn truncate(&mut self, count: usize) {
         self.end = self.end.min(self.start + count);
         let stream_end = self.stream_end();
@@ -66,18 +66,18 @@
         self.rewind_if_empty();
     }
 
-    /// When the last of the first `count` bytes arrived; `None` while it has not.
+    /// The time at which the first `count` bytes had all arrived; `None` if some of them have not.
     #[must_use]
     pub fn arrival_time(&self, count: usize) -> Option<Instant> {
         let position = self.consumed + count;
         self.arrivals.iter().find(|arrival| arrival.end >= position).map(|arrival| arrival.time)
     }
 
-    /// Reads once and gives the number of bytes, which is 0 at the end of the stream.
+    /// Reads once and returns the number of bytes read; 0 at the end of the stream.
     ///
     /// # Errors
     ///
-    /// When reading fails.
+    /// When reading from the stream fails.
     pub async fn fill(&mut self, stream: &Async<TcpStream>) -> io::Result<usize> {
         if self.end == self.bytes.len() {
             self.make_room();
@@ -92,8 +92,9 @@
         Ok(count)
     }
 
-    /// Moves the first `count` bytes out together with the allocation that they are in, so that they stay valid uncopied
-    /// while the buffer reads on; gives the allocation and their place in it. Only the bytes after them are copied.
+    /// Moves the first `count` bytes out together with their allocation, so that they stay valid without a
+    /// copy while the buffer continues to read. Returns the allocation and the range of the bytes in it. Only
+    /// the bytes after the range are copied.
     pub fn detach(&mut self, count: usize) -> (Vec<u8>, Range<usize>) {
         let detached = self.start..(self.start + count).min(self.end);
         let rest = self.bytes[detached.end..self.end].to_vec();
@@ -101,7 +102,8 @@
         self.start = 0;
         self.end = rest.len();
         let mut bytes = std::mem::replace(&mut self.bytes, rest);
-        // A large value may be kept for seconds, beside hundreds of others: not in an allocation twice its size.
+        // Hundreds of large values may be kept for seconds at a time; an allocation of up to twice the size
+        // of each would waste memory.
         if bytes.len() - detached.end > MAX_IDLE_CAPACITY {
             bytes.truncate(detached.end);
             bytes.shrink_to_fit();
@@ -109,14 +111,14 @@
         (bytes, detached)
     }
 
-    /// Reuses the allocation of detached bytes, unless it is large.
+    /// Reuses the allocation of detached bytes if it is small and the buffer has none.
     pub fn reuse(&mut self, bytes: Vec<u8>) {
         if self.bytes.is_empty() && bytes.len() <= MAX_IDLE_CAPACITY {
             self.bytes = bytes;
         }
     }
 
-    /// Releases a large allocation while the buffer is empty.
+    /// Releases the allocation if it is large and the buffer is empty.
     pub fn shrink_if_empty(&mut self) {
         if self.start == self.end && self.bytes.len() > MAX_IDLE_CAPACITY {
             *self = Self::default();
@@ -127,7 +129,7 @@
         self.end - self.start
     }
 
-    /// The position in the stream behind the last byte that was read.
+    /// The position in the stream after the last byte that was read.
     fn stream_end(&self) -> usize {
         self.consumed + self.len()
     }
@@ -166,12 +168,12 @@
     }
 }
 
-/// Reads once into a scratch buffer that many streams share, and discards the bytes; gives their number, which is 0 at
-/// the end of the stream.
+/// Reads once into a scratch buffer that many streams share and discards the bytes. Returns the number of
+/// bytes read; 0 at the end of the stream.
 ///
 /// # Errors
 ///
-/// When reading fails.
+/// When reading from the stream fails.
 pub async fn discard(stream: &Async<TcpStream>, scratch: &RefCell<Vec<u8>>) -> io::Result<usize> {
     loop {
         match stream.read_with(|mut stream| stream.read(&mut scratch.borrow_mut())).await {
@@ -181,11 +183,11 @@
     }
 }
 
-/// Writes all pieces, one after another, in as few system calls as possible.
+/// Writes all pieces in order, with vectored writes to save system calls.
 ///
 /// # Errors
 ///
-/// When writing fails, or the peer accepts no more bytes.
+/// When writing to the stream fails, or a write accepts no bytes.
 pub async fn write_all(stream: &Async<TcpStream>, pieces: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice<'_>> = pieces.iter().map(|piece| IoSlice::new(piece)).collect();
     let mut remaining = slices.as_mut_slice();
--- a/crates/proxy/src/client/commands.rs
+++ b/crates/proxy/src/client/commands.rs
@@ -1,36 +1,37 @@
-//! Taking a command out of the buffer, and telling what it asks for.
+//! Takes a client's command out of the read buffer and classifies it.
 
 use crate::buffer::ReadBuffer;
 use crate::client::context::ClientContext;
 use crate::client::errors::ErrorReply;
-use crate::client::requests::{RoutedRequest, UnsentRequest};
+use crate::client::requests::{BufferedRequest, RoutableRequest};
 use crate::protocol::{
     HEADER_SIZE, ProtocolError, StatementKind, classify_statement, frontend_tag, parse_query,
 };
 
-/// A command of a client.
+/// A classified command of a client.
 pub(super) enum Command<'a> {
     /// A request to route.
-    Request(RoutedRequest<'a>),
+    Request(RoutableRequest<'a>),
     /// An empty query.
     EmptyQuery,
-    /// A change of the session's own state, which has no effect; its command tag.
+    /// A command that changes only the session's own state, which has no effect in the pooler; the command
+    /// tag of the response.
     SessionSetting(&'static str),
-    /// Sync.
+    /// Sync, which ends the skipping of messages after an error in the extended query protocol.
     Sync,
-    /// A part of a copy that was never begun, which gets no response.
+    /// A copy message; no copy is ever in progress, so the message gets no response.
     Ignored,
-    /// A command that is not served.
+    /// A command that is not served; the error that the client receives.
     Rejected(ErrorReply),
-    /// The end of the session.
+    /// Terminate: the client ends the session.
     Terminate,
 }
 
-/// Takes the complete command with this tag, of `size` bytes, at the front of the buffer.
+/// Takes the complete command with this tag, of `size` bytes, from the start of the buffer.
 ///
 /// # Errors
 ///
-/// When it violates the protocol, after which the stream can't be followed any further.
+/// When the command violates the protocol. The stream can't be parsed any further after it.
 pub(super) fn take_command<'a>(
     context: &'a ClientContext,
     buffer: &mut ReadBuffer,
@@ -64,7 +65,7 @@
     let command = match classify_statement(statement) {
         Ok(StatementKind::Request(comment)) => {
             let arrival_time = buffer.arrival_time(size);
-            if let Some(request) = UnsentRequest::new(context, statement, &comment, arrival_time) {
+            if let Some(request) = BufferedRequest::new(context, statement, &comment, arrival_time) {
                 return Ok(Command::Request(request.take_statement(buffer, size)));
             }
             Command::Rejected(ErrorReply::UnknownClassOrIdInUse)
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of one client: reading, writing and closing within time limits.
+//! The connection of one client: reads, writes and closing, each within a time limit.
 
 use crate::buffer::{ReadBuffer, write_all};
 use crate::client::connection_slots::{Admission, EvictionClass, Slot};
@@ -11,62 +11,64 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The time that a client has for its first command, counted from when it was accepted, and for the rest of any command
-/// that has begun. Connections without a request in flight may be closed after 2 s, and a client that sends nothing
-/// complete is due a close within 3 s of connecting, a part of which it may have waited in the backlog.
+/// The time that a client has for its first command, counted from its acceptance, and for the rest of any
+/// command that has begun. Connections without a request in flight may be closed after 2 s. A client that
+/// sends no complete command must be closed within 3 s of connecting, and it may have spent a part of that
+/// time in the accept backlog.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time that a client has to read a response.
+/// The time limit for a client to read a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a client that received a fatal error may go on sending: enough for 60 MB.
+/// The time for which the input of a client that received a fatal error is still read: enough for 60 MB.
 const LINGER_AFTER_ERROR: Duration = Duration::from_secs(3);
-/// How long a client whose connection was closed between two commands has to close its side.
-const LINGER_WHEN_IDLE: Duration = Duration::from_secs(1);
+/// The time that a client has to close its side after its connection was closed between two commands.
+const LINGER_AFTER_IDLE_CLOSE: Duration = Duration::from_secs(1);
 
-/// How far a client has come.
+/// The progress of a client's session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionPhase {
-    /// Its startup message is not complete.
+    /// The startup message is not complete.
     Startup,
-    /// Its session has begun, and it has made no request yet.
+    /// The session has started, and the client has made no request yet.
     AwaitingFirstRequest,
-    /// It has made a request.
+    /// The client has made a request.
     Established,
 }
 
-/// Which side ends a connection.
+/// The side that ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClosedBy {
-    /// The client, or the connection is of no more use.
+    /// The client, or the connection can't be used any further.
     Client,
-    /// The pooler: the connection was evicted, a command took too long, or the pooler shuts down.
+    /// The pooler: the connection was evicted, a command timed out, or the pooler is shutting down.
     Pooler,
 }
 
-/// What became of reading more.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
     /// Bytes were read.
     BytesRead,
-    /// No more bytes will be read.
+    /// The connection is to be closed, and nothing more will be read.
     Closed(ClosedBy),
 }
 
 /// The connection of one client.
 pub(super) struct ClientConnection<'a> {
     context: &'a ClientContext,
-    // Declared before the slot: the descriptor is closed before the slot counts as free.
+    // Declared before `slot`, so that the descriptor is closed before the slot counts as free.
     stream: Async<TcpStream>,
     buffer: ReadBuffer,
     slot: Slot,
     phase: SessionPhase,
-    /// When the client occupied its slot, or last received a response.
+    /// The start of the current wait: the creation of the session, the client's last response, or the arrival
+    /// of the first bytes of a command.
     waiting_since: Instant,
     write_closed: bool,
     read_ahead: ReadAhead,
 }
 
 impl<'a> ClientConnection<'a> {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new(context: &'a ClientContext, stream: Async<TcpStream>, slot: Slot) -> Self {
         Self {
             context,
@@ -80,12 +82,12 @@
         }
     }
 
-    /// The bytes that were read from the client and not consumed yet.
+    /// The buffer of the bytes that were read from the client and not consumed yet.
     pub(super) fn buffer(&mut self) -> &mut ReadBuffer {
         &mut self.buffer
     }
 
-    /// Admits a client that was to be rejected, if there is room by now.
+    /// Admits a client that was to be rejected if a slot has become free.
     pub(super) fn try_admit(&self) -> Admission {
         self.slot.try_admit()
     }
@@ -95,41 +97,41 @@
         self.phase = phase;
     }
 
-    /// Counts the idle time of an established client from now on.
+    /// Restarts the idle time of an established client.
     pub(super) fn restart_idle_time(&mut self) {
         if self.phase == SessionPhase::Established {
             self.waiting_since = Instant::now();
         }
     }
 
-    /// What follows the commands in the buffer.
+    /// Takes the skipped input that follows the commands in the buffer.
     pub(super) fn take_next_skipped(&mut self) -> NextSkipped {
         self.read_ahead.take_next()
     }
 
-    /// Reads ahead until the client has closed its connection.
+    /// Reads ahead until the client closes its connection.
     pub(super) async fn read_until_closed(&mut self) {
         self.read_ahead.read_until_closed(&self.stream, &mut self.buffer).await;
     }
 
-    /// Returns the allocation of a command that has been answered.
+    /// Hands the allocation of an answered command back to the read buffer for reuse.
     pub(super) fn reuse_command_buffer(&mut self, bytes: Vec<u8>) {
         self.buffer.reuse(bytes);
         self.read_ahead.release_unused_permit(self.buffer.data().len());
     }
 
-    /// Whether a part of a command was read that was not answered.
+    /// Whether a part of an unanswered command has been read.
     fn has_partial_command(&self) -> bool {
         !self.buffer.data().is_empty() || self.read_ahead.is_skipping()
     }
 
-    /// Reads more, unless the connection has to be closed: it is evicted, a command took too long, or the pooler shuts
-    /// down. Bytes that can be read take precedence over all of these.
+    /// Reads more bytes, unless the connection has to be closed because it is evicted, a command timed out,
+    /// or the pooler is shutting down. Bytes that can be read take precedence over all of these reasons.
     pub(super) async fn read_more(&mut self) -> Result<ReadOutcome, ClientError> {
         let is_between_commands = self.phase != SessionPhase::Startup && !self.has_partial_command();
         let stages = &self.context.shutdown_stages;
-        // A client that makes its next request as soon as it has a response would otherwise go on until the process ends
-        // in the middle of one.
+        // A client that sends its next request immediately after each response would otherwise continue until
+        // the process exits during a request.
         if is_between_commands && stages.terminating.is_set() {
             return Ok(ReadOutcome::Closed(ClosedBy::Pooler));
         }
@@ -154,8 +156,9 @@
         outcome.unwrap_or(Ok(ReadOutcome::Closed(ClosedBy::Pooler)))
     }
 
-    /// When the next command has to be complete. The first bytes of a command have just arrived when it begins, and
-    /// later ones grant no further time.
+    /// The time at which the next command has to be complete; `None` while an established client is between
+    /// commands. The arrival of a command's first bytes starts the time limit, and later bytes don't extend
+    /// it.
     fn command_deadline(&self, is_between_commands: bool) -> Option<Instant> {
         if self.phase == SessionPhase::Established && is_between_commands {
             return None;
@@ -163,7 +166,8 @@
         Some(self.waiting_since + COMMAND_TIMEOUT)
     }
 
-    /// Pauses, and can be evicted meanwhile as readily as if it had made no request; false if it was.
+    /// Pauses the session. Meanwhile the connection can be evicted like that of a client without a request.
+    /// Returns false if the connection was evicted.
     pub(super) async fn pause(&self, pause: Duration) -> bool {
         let timer = async {
             Timer::after(pause).await;
@@ -174,7 +178,7 @@
             .is_some()
     }
 
-    /// Sends all pieces, one after another.
+    /// Sends all pieces in order, within the time limit for writes.
     pub(super) async fn send(&self, pieces: &[&[u8]]) -> Result<(), ClientError> {
         let timeout = async {
             Timer::after(WRITE_TIMEOUT).await;
@@ -183,22 +187,23 @@
         or(async { Ok(write_all(&self.stream, pieces).await?) }, timeout).await
     }
 
-    /// Closes a connection that the session is done with, as far as that takes more than dropping it.
+    /// Performs what remains to be done at the end of a session before the connection is dropped: a fatal
+    /// error for a client with an incomplete command, and a lingering close for an established client.
     pub(super) async fn finish(&mut self, closed_by: ClosedBy) -> Result<(), ClientError> {
-        // The rest of a command that has begun may be on its way, so its client receives an error.
+        // The rest of an incomplete command may be in transit, and its client must receive an error.
         if closed_by == ClosedBy::Pooler && self.has_partial_command() {
             self.context.counters.rejected_statements.increment();
-            return self.close_with_error(ErrorReply::ConnectionEnding).await;
+            return self.close_with_error(ErrorReply::ConnectionClosing).await;
         }
-        // A client that has made no request has no response to lose.
+        // A client that has made no request can't lose a response.
         if self.phase == SessionPhase::Established {
-            return self.close(LINGER_WHEN_IDLE).await;
+            return self.close(LINGER_AFTER_IDLE_CLOSE).await;
         }
         Ok(())
     }
 
-    /// Sends a fatal error, and reads what the client is still sending: closing earlier would reset the connection, and
-    /// the error might be lost with it.
+    /// Sends a fatal error and discards what the client still sends: closing the connection earlier would
+    /// reset it, and the error might be lost.
     pub(super) async fn close_with_error(&mut self, error: ErrorReply) -> Result<(), ClientError> {
         let mut out = Vec::new();
         error.write(&mut out, Severity::Fatal);
@@ -206,19 +211,20 @@
         self.close(LINGER_AFTER_ERROR).await
     }
 
-    /// Closes the sending side, and discards what still arrives until the client has closed its side, or for as long as
-    /// `linger`. Closing over unread bytes would reset the connection, and the last response might be lost with it.
+    /// Closes the sending side, and discards incoming bytes until the client has closed its side or `linger`
+    /// has elapsed. Closing a connection with unread bytes would reset it, and the last response might be
+    /// lost.
     async fn close(&mut self, linger: Duration) -> Result<(), ClientError> {
         if self.write_closed {
             return Ok(());
         }
         self.write_closed = true;
-        self.slot.end_service();
+        self.slot.release();
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         self.buffer = ReadBuffer::default();
         let closed_by_client = async {
             while matches!(self.context.read_ahead.discard(&self.stream).await, Ok(1..)) {
-                // A client that sends at full speed must not hold up the others.
+                // A client that sends at full speed must not delay other clients.
                 yield_now().await;
             }
         };
@@ -243,12 +249,12 @@
     buffer: &mut ReadBuffer,
     read_ahead: &mut ReadAhead,
 ) -> Result<ReadOutcome, ClientError> {
-    let has_read =
+    let is_open =
         if read_ahead.is_skipping() { read_ahead.skip(stream).await } else { buffer.fill(stream).await? > 0 };
-    Ok(if has_read { ReadOutcome::BytesRead } else { ReadOutcome::Closed(ClosedBy::Client) })
+    Ok(if is_open { ReadOutcome::BytesRead } else { ReadOutcome::Closed(ClosedBy::Client) })
 }
 
-/// Sleeps until the deadline, or for ever without one.
+/// Sleeps until the deadline; never completes if there is none.
 async fn sleep_until(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => drop(Timer::at(deadline).await),
--- a/crates/proxy/src/client/connection_slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -1,15 +1,17 @@
-//! The slots of client connections: how many clients are served, and which connection is evicted to make room for a
-//! client that has connected.
+//! Connection slots: limits the number of clients that are served, and selects the connection to evict when a
+//! new client needs a slot.
 //!
-//! Every open connection counts against one limit, those that are being rejected or closed too. A client that is served
-//! holds a slot from its admission to the moment at which its session is over. A connection is evicted by asking its
-//! task: the task refuses if bytes can be read, and the slot is free only once the task has given it up.
+//! Every open connection counts against one limit, including those that are being rejected or closed. A
+//! client that is served holds a slot from its admission until its session is over. Eviction is cooperative:
+//! the connection's task is asked to release the slot and refuses if bytes can be read, and the slot is free
+//! only once the task has released it.
 //!
-//! A client with a request in flight keeps its slot. Of the others, those that have made no request yet are evicted
-//! first, oldest first, then those that have been idle longest. Clients that have made no request share a part of the
-//! slots among themselves, so that a flood of connections without a request evicts none but its own. Clients that have
-//! made requests are limited as well: where each client may hold only so many connections, those that make one request
-//! and keep their connections would leave none for others.
+//! A client with a request in flight keeps its slot. Of the other served clients, those that have made no
+//! request yet are evicted first, oldest first, and then those that have been idle longest. Clients that have
+//! made no request share a limited part of the slots, so that a flood of connections without requests evicts
+//! only connections of the same kind. The number of clients that have made requests is limited as well: where
+//! each client may hold only a limited number of connections, clients that make one request and keep their
+//! connections would otherwise leave none for others.
 
 use crate::latch::Latch;
 use crate::metrics::Counters;
@@ -22,10 +24,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The part of the slots that clients without a request may occupy.
+/// The divisor for the share of the slots that clients without a request may occupy: a quarter.
 const AWAITING_FIRST_REQUEST_DIVISOR: usize = 4;
 
-/// How readily the connection of a client without a request in flight is evicted, the readiest first.
+/// The eviction priority of the connection of a client without a request in flight; the first variant is
+/// evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionClass {
     /// The client holds no slot: it is being rejected, or its session is over.
@@ -37,10 +40,11 @@
 }
 
 impl EvictionClass {
-    /// In the order of eviction.
+    /// All classes in the order of eviction.
     const ALL: [Self; 3] = [Self::Unserved, Self::AwaitingFirstRequest, Self::Idle];
 
-    /// The age from which a connection may be evicted: the client of a younger one may be about to send.
+    /// The least age at which a connection may be evicted; the client of a younger connection may be about to
+    /// send.
     const fn min_age(self) -> Duration {
         match self {
             Self::Unserved | Self::AwaitingFirstRequest => Duration::from_millis(5),
@@ -49,7 +53,7 @@
     }
 }
 
-/// Orders evictable connections by class and age.
+/// The sort key of evictable connections: by class, then by age, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
     class: EvictionClass,
@@ -57,56 +61,57 @@
     slot_number: u64,
 }
 
-/// The request to the task of a connection to give it up.
+/// The eviction request to the task of a connection.
 #[derive(Debug, Default)]
 struct EvictionRequest {
-    asked: Latch,
-    /// The task has given up the slot or refused to.
+    requested: Latch,
+    /// Set once the task has released the slot or refused to.
     answered: Latch,
 }
 
-/// Whether a client that connects is served.
+/// The decision whether a client that has connected is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a slot.
+    /// The client holds a slot.
     Admitted,
-    /// It is only told that there is no room: all other clients are being served.
+    /// The client receives only an error: all slots are in use by other clients, and none could be freed.
     Rejected,
 }
 
 /// The limits on the number of client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotLimits {
-    /// Clients that are served.
+    /// The number of clients that may be served at a time.
     pub clients: usize,
-    /// Clients beyond those that are accepted only to be told that there is no room.
+    /// The number of further connections that may be open at a time while they are rejected or closed.
     pub rejected: usize,
-    /// Clients that have made a request, beyond which idle ones are evicted.
+    /// The limit on clients that have made a request; once it is reached, an idle one is evicted for each new
+    /// client.
     pub established: usize,
 }
 
-/// All slots.
+/// The slots of all client connections.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     limits: SlotLimits,
     counters: Rc<Counters>,
     max_awaiting_first_request: usize,
-    /// The open connections.
+    /// The number of open connections.
     open: Cell<usize>,
-    /// How many of them hold a slot.
+    /// The number of open connections whose clients hold a slot.
     served: Cell<usize>,
     last_number: Cell<u64>,
     freed: Event,
-    /// The connections that can be evicted and were not asked to yet.
+    /// The connections that can be evicted and have no eviction request yet.
     evictable: RefCell<BTreeMap<EvictionKey, Rc<EvictionRequest>>>,
-    /// How many of them await their first request.
+    /// The number of evictable connections whose clients have not made their first request.
     awaiting_first_request: Cell<usize>,
-    /// No connection is older than this.
+    /// The creation time of the slots; no connection is older.
     created_at: Instant,
 }
 
 impl ConnectionSlots {
-    /// Free slots within these limits.
+    /// Creates free slots with these limits.
     #[must_use]
     pub fn new(limits: SlotLimits, counters: Rc<Counters>) -> Self {
         Self {
@@ -123,27 +128,27 @@
         }
     }
 
-    /// How many connections are open, whether they are served or not.
+    /// The number of open connections, served or not.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// How many clients are served.
+    /// The number of clients that are served.
     #[must_use]
     pub fn served_clients(&self) -> usize {
         self.served.get()
     }
 
-    /// Whether no further connection may be opened before another one is closed.
+    /// Whether a connection has to be closed before another one may be opened.
     #[must_use]
     pub fn is_open_limit_reached(&self) -> bool {
         self.open.get() >= self.limits.clients + self.limits.rejected
     }
 
-    /// Waits until one more connection may be opened, evicting one that is not served if need be. For a client that has
-    /// connected only.
-    pub async fn wait_until_one_more_may_open(&self) {
+    /// Waits until another connection may be opened; evicts a connection that is not served if necessary.
+    /// Must be called only when a client is waiting to be accepted.
+    pub async fn wait_for_open_capacity(&self) {
         while self.is_open_limit_reached() {
             if !self.evict_one(EvictionClass::Unserved..=EvictionClass::Unserved).await {
                 self.wait_for_change().await;
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Counts one more open connection, that of a client that is not served yet.
+    /// Registers an open connection whose client is not served yet.
     #[must_use]
     pub fn open(self: &Rc<Self>) -> Slot {
         let number = self.last_number.get() + 1;
@@ -168,12 +173,14 @@
         self.awaiting_first_request.get() >= self.max_awaiting_first_request
     }
 
-    /// How many slots belong to clients that have made a request, those with one in flight included.
+    /// The number of slots held by clients that have made a request, including those with a request in
+    /// flight.
     fn established(&self) -> usize {
         self.served.get().saturating_sub(self.awaiting_first_request.get())
     }
 
-    /// Waits until a connection is closed or a slot is freed, or another connection may be old enough to be evicted.
+    /// Waits until a connection is closed, a slot is freed, or another connection may have become old enough
+    /// for eviction.
     async fn wait_for_change(&self) {
         let freed = self.freed.listen();
         or(freed, async {
@@ -182,26 +189,26 @@
         .await;
     }
 
-    /// Asks one connection of these classes to be evicted, and waits for its answer, which may be that it stays since
-    /// its client has sent something; false if there is none to ask.
+    /// Requests the eviction of one connection of these classes and waits for the answer. The connection's
+    /// task may refuse because its client has sent something. Returns false if no connection can be evicted.
     pub async fn evict_one(&self, classes: RangeInclusive<EvictionClass>) -> bool {
         let classes = EvictionClass::ALL.into_iter().filter(|class| classes.contains(class));
         let is_old_enough = |key: &EvictionKey| key.since.elapsed() >= key.class.min_age();
         let oldest = classes.filter_map(|class| self.oldest(class)).find(is_old_enough);
         let Some(request) = oldest.and_then(|key| self.remove_evictable(key)) else { return false };
-        request.asked.set();
+        request.requested.set();
         request.answered.wait().await;
         true
     }
 
-    /// The connection of this class that has been evictable longest.
+    /// The oldest evictable connection of this class.
     fn oldest(&self, class: EvictionClass) -> Option<EvictionKey> {
         let evictable = self.evictable.borrow();
         let (key, _) = evictable.range(self.first_key(class)..).next()?;
         (key.class == class).then_some(*key)
     }
 
-    /// A key that sorts before all connections of this class.
+    /// A key that sorts before the keys of all connections of this class.
     fn first_key(&self, class: EvictionClass) -> EvictionKey {
         EvictionKey { class, since: self.created_at, slot_number: 0 }
     }
@@ -222,7 +229,8 @@
     }
 }
 
-/// The place of one open connection, and the slot of its client while that is served. Dropped after the connection.
+/// The registration of one open connection, which includes a slot while the client is served. Must be dropped
+/// after the connection.
 #[derive(Debug)]
 pub struct Slot {
     slots: Rc<ConnectionSlots>,
@@ -231,13 +239,13 @@
 }
 
 impl Slot {
-    /// The slot's number, which is never used again.
+    /// The slot's number, which is never reused.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Admits the client if there is room, evicting others if need be.
+    /// Admits the client if a slot is free or can be freed by evicting another client.
     pub async fn admit(&self) -> Admission {
         let slots = &self.slots;
         if slots.established() >= slots.limits.established {
@@ -255,12 +263,12 @@
             if !slots.is_awaiting_first_request_full() {
                 return Admission::Rejected;
             }
-            // These connections are too young to be told from clients that are about to send.
+            // Connections this young may belong to clients that are about to send.
             slots.wait_for_change().await;
         }
     }
 
-    /// Admits the client if there is room without an eviction.
+    /// Admits the client if a slot is free, without evicting another client.
     pub fn try_admit(&self) -> Admission {
         if self.slots.is_full() || self.slots.is_awaiting_first_request_full() {
             return Admission::Rejected;
@@ -270,16 +278,18 @@
         Admission::Admitted
     }
 
-    /// Frees the slot of a client whose session is over; its connection stays open until this is dropped.
-    pub fn end_service(&self) {
+    /// Releases the slot of a client whose session is over. The connection counts as open until `self` is
+    /// dropped.
+    pub fn release(&self) {
         if self.is_served.replace(false) {
             self.slots.served.set(self.slots.served.get() - 1);
             self.slots.freed.notify(1);
         }
     }
 
-    /// Runs `work` while the connection can be evicted; `None` if it was evicted before `work` completed, which ends the
-    /// client's service. Completed work takes precedence: a client whose request can be read is not evicted.
+    /// Runs `work` while the connection can be evicted; `None` if the connection was evicted before `work`
+    /// completed, which releases the slot. Completed work takes precedence: a client whose request can be
+    /// read is not evicted.
     pub async fn while_evictable<T>(
         &self,
         class: EvictionClass,
@@ -288,16 +298,16 @@
     ) -> Option<T> {
         let class = if self.is_served.get() { class } else { EvictionClass::Unserved };
         let evictable = Evictable::new(&self.slots, EvictionKey { class, since, slot_number: self.number });
-        // Polled first, so that what the client has sent is read before an eviction.
+        // `work` is polled first, so that bytes from the client are read before an eviction.
         let work = async { Some(work.await) };
         let evicted = async {
-            evictable.request.asked.wait().await;
+            evictable.request.requested.wait().await;
             None
         };
         let result = or(work, evicted).await;
         if result.is_none() {
             self.slots.counters.evicted_connections.increment();
-            self.end_service();
+            self.release();
         }
         result
     }
@@ -305,13 +315,14 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.end_service();
+        self.release();
         self.slots.open.set(self.slots.open.get() - 1);
         self.slots.freed.notify(1);
     }
 }
 
-/// Keeps a connection evictable until it is dropped, and then answers the request to evict it.
+/// Keeps a connection evictable until the guard is dropped, and then answers the request to evict the
+/// connection.
 struct Evictable<'a> {
     slots: &'a ConnectionSlots,
     key: EvictionKey,
--- a/crates/proxy/src/client/context.rs
+++ b/crates/proxy/src/client/context.rs
@@ -1,4 +1,4 @@
-//! What all client sessions share.
+//! The state that the accept loop and all client sessions share.
 
 use crate::client::cancellation::CancellationKeys;
 use crate::client::connection_slots::ConnectionSlots;
@@ -14,52 +14,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A request class of the configuration.
+/// The properties of a configured request class that the client side uses.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestClass {
-    /// The name by which requests ask for it.
+    /// The name that requests give as their class.
     pub(crate) name: String,
-    /// What its requests do.
+    /// The operation of the class's requests: a write, or a read with its consistency.
     pub(crate) operation: Operation,
 }
 
-/// What the accept loop and all client sessions share.
+/// The state that the accept loop and all client sessions share.
 pub(crate) struct ClientContext {
-    /// Runs the sessions' tasks.
+    /// The executor that runs the sessions' tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// The router.
+    /// The handle through which requests reach the router.
     pub(crate) router: Rc<RouterHandle>,
-    /// The connections to the servers.
+    /// The pool of connections to the servers.
     pub(crate) pool: Rc<Pool>,
-    /// The metrics.
+    /// The pooler's counters.
     pub(crate) counters: Rc<Counters>,
-    /// The stages of the shutdown.
+    /// The stages of the graceful shutdown.
     pub(crate) shutdown_stages: Rc<ShutdownStages>,
     /// The slots of the client connections.
     pub(crate) slots: Rc<ConnectionSlots>,
     /// The request classes, in the order of their ids.
     pub(crate) classes: Vec<RequestClass>,
-    /// The writes whose outcome is unknown.
+    /// The record of writes whose outcome is unknown.
     pub(crate) in_doubt_writes: Rc<InDoubtWrites>,
-    /// The longest deadline of any class.
+    /// The longest deadline of any request class, which limits the timeouts of clients.
     pub(crate) longest_deadline: Duration,
-    /// The ids of the requests in flight, at most one a connection.
+    /// The ids of the requests in flight, at most one per connection.
     pub(crate) open_request_ids: OpenRequestIds,
-    /// The keys with which clients cancel their requests.
+    /// The keys by which clients cancel their requests.
     pub(crate) cancellation_keys: CancellationKeys,
-    /// When clients that exceed the connection limit should retry; `None` where clients are not told.
-    pub(crate) full_retry_after: Option<TimeDelta>,
-    /// The memory that clients share for commands sent ahead.
+    /// The retry-after for clients rejected for lack of a free slot; `None` if clients are given none.
+    pub(crate) no_slot_retry_after: Option<TimeDelta>,
+    /// The memory budget that all clients share for commands sent ahead.
     pub(crate) read_ahead: Rc<ReadAheadBudget>,
 }
 
 impl ClientContext {
-    /// The id of the class with this name.
+    /// The id of the request class with this name; `None` if no such class is configured.
     pub(crate) fn class_id(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|class| class.name == name).map(ClassId)
     }
 
-    /// The class with this id.
+    /// The request class with this id.
     pub(crate) fn class(&self, id: ClassId) -> &RequestClass {
         &self.classes[id.0]
     }
--- a/crates/proxy/src/client/errors.rs
+++ b/crates/proxy/src/client/errors.rs
@@ -1,4 +1,4 @@
-//! Why a client's connection ends, and the errors that clients receive.
+//! Errors that end a client's connection, and errors that clients receive.
 
 use crate::protocol::write::{self, Severity};
 use crate::protocol::{ProtocolError, SqlState};
@@ -7,33 +7,33 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Why a client's connection is closed.
+/// An error that ends a client's connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ClientError {
-    /// Reading or writing failed.
+    /// Reading from or writing to the connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The client violated the protocol.
     #[error("{0}")]
     Protocol(#[from] ProtocolError),
-    /// The client did not read a response in time.
-    #[error("the client reads its responses too slowly")]
+    /// The client did not read a response within the time limit.
+    #[error("the client did not read a response within the time limit")]
     WriteTimedOut,
 }
 
 /// An error that a client receives in an ErrorResponse.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub(super) enum ErrorReply {
-    /// The pooler has no room for the connection.
+    /// No connection slot is free for the client.
     #[error("too many clients")]
     TooManyClients {
-        /// When the client should retry.
+        /// The time after which the client should retry; `None` if the client is given none.
         retry_after: Option<TimeDelta>,
     },
     /// The pooler closes the connection while a command is incomplete.
     #[error("the connection ends before the command was read")]
-    ConnectionEnding,
-    /// The client sent more commands ahead than are buffered.
+    ConnectionClosing,
+    /// The client sent more commands ahead than the pooler buffers.
     #[error("too many commands sent ahead")]
     TooManyCommandsAhead,
     /// The request's class is not configured, or another request with its id is in flight.
@@ -42,7 +42,7 @@
     /// The statement has no request comment.
     #[error("only requests with their comment are routed")]
     NotARequest,
-    /// The command belongs to a protocol other than that of simple queries.
+    /// The command belongs to a part of the protocol other than simple queries.
     #[error("only simple queries are spoken here")]
     OnlySimpleQueries,
     /// The statement's request comment is malformed.
@@ -51,16 +51,16 @@
     /// The client violated the protocol.
     #[error("{0}")]
     ProtocolViolation(ProtocolError),
-    /// The request was rejected, and has certainly not run.
+    /// The request was rejected and has certainly not run.
     #[error("refused, nothing is harmed by a retry")]
     RequestRejected {
-        /// When the client should retry.
+        /// The time after which the client should retry; `None` if the client is given none.
         retry_after: Option<TimeDelta>,
     },
-    /// The request failed, and may have run.
+    /// The request failed and may have run.
     #[error("no answer; it may have been carried out")]
     RequestFailed,
-    /// The request was cancelled by its client.
+    /// The client cancelled the request.
     #[error("canceled by its client")]
     RequestCancelled,
 }
@@ -71,7 +71,7 @@
             Self::TooManyClients { .. } | Self::TooManyCommandsAhead | Self::RequestRejected { .. } => {
                 SqlState::TOO_MANY_CONNECTIONS
             }
-            Self::ConnectionEnding => SqlState::CANNOT_CONNECT_NOW,
+            Self::ConnectionClosing => SqlState::CANNOT_CONNECT_NOW,
             Self::UnknownClassOrIdInUse | Self::MalformedRequest(_) => SqlState::SYNTAX_ERROR,
             Self::NotARequest | Self::OnlySimpleQueries => SqlState::FEATURE_NOT_SUPPORTED,
             Self::ProtocolViolation(_) => SqlState::PROTOCOL_VIOLATION,
@@ -80,25 +80,25 @@
         }
     }
 
-    /// The detail field: when the client should retry, in milliseconds.
+    /// The detail field: the retry-after in milliseconds.
     fn detail(self) -> Option<String> {
         match self {
             Self::TooManyClients { retry_after } | Self::RequestRejected { retry_after } => {
-                retry_after.map(whole_millis)
+                retry_after.map(format_millis)
             }
             _ => None,
         }
     }
 
-    /// Appends the ErrorResponse.
+    /// Appends the error as an ErrorResponse.
     pub(super) fn write(self, out: &mut Vec<u8>, severity: Severity) {
         let detail = self.detail();
         write::error_response(out, severity, self.sql_state(), &self.to_string(), detail.as_deref());
     }
 }
 
-/// The milliseconds of a time span, rounded up.
-fn whole_millis(span: TimeDelta) -> String {
+/// Formats a time span in whole milliseconds, rounded up; a negative span counts as 0.
+fn format_millis(span: TimeDelta) -> String {
     let micros = span.0.max(0).unsigned_abs();
     micros.div_ceil(MICROS_PER_MILLI).to_string()
 }
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: accepting connections, the sessions on them, and the limits on their number.
+//! The client side: accepts connections, limits their number, and runs a session on each.
 
 pub mod accept;
 pub(crate) mod cancellation;
--- a/crates/proxy/src/client/open_request_ids.rs
+++ b/crates/proxy/src/client/open_request_ids.rs
@@ -1,16 +1,16 @@
-//! The ids of the requests in flight: no two requests with the same id are in flight at the same time.
+//! The ids of the requests in flight. Two requests with the same id are never in flight at the same time.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// The clients' ids of all requests in flight.
+/// The ids that clients gave the requests in flight.
 #[derive(Debug, Default)]
 pub(crate) struct OpenRequestIds {
     ids: RefCell<HashSet<Box<str>>>,
 }
 
 impl OpenRequestIds {
-    /// Reserves an id until the guard is dropped; `None` if a request with this id is in flight.
+    /// Reserves an id until the returned guard is dropped; `None` if a request with this id is in flight.
     pub(crate) fn reserve(&self, id: &str) -> Option<OpenRequestId<'_>> {
         let id: Box<str> = id.into();
         let is_new = self.ids.borrow_mut().insert(id.clone());
@@ -26,7 +26,7 @@
 }
 
 impl OpenRequestId<'_> {
-    /// The id.
+    /// The reserved id as text.
     pub(crate) fn as_str(&self) -> &str {
         &self.id
     }
--- a/crates/proxy/src/client/read_ahead.rs
+++ b/crates/proxy/src/client/read_ahead.rs
@@ -1,7 +1,7 @@
-//! Commands that a client sends while its request is in flight.
+//! Read-ahead: commands that a client sends while its request is in flight.
 //!
-//! They are buffered up to a limit, and skipped beyond it: however much a client sends ahead, its disconnect is noticed.
-//! Skipped commands are rejected in their turn.
+//! Commands are buffered up to a limit and skipped beyond it, so that a disconnect is detected however much
+//! the client has sent ahead. Skipped commands are rejected after all buffered commands have been answered.
 
 use crate::buffer::{ReadBuffer, discard};
 use crate::protocol::{ProtocolError, QuerySkipper, parse_frontend_message};
@@ -12,42 +12,44 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The bytes that every client may have buffered.
+/// The limit on the buffered bytes of a client without a large buffer.
 const BUFFER_LIMIT: usize = 16 * 1024;
-/// The bytes that a client with a large buffer may have buffered.
+/// The limit on the buffered bytes of a client with a large buffer.
 const LARGE_BUFFER_LIMIT: usize = 256 * 1024;
-/// The number of clients that may have a large buffer at a time.
+/// The number of clients that may have a large buffer at the same time.
 const MAX_LARGE_BUFFERS: usize = 16;
-/// The number of skipped commands that are rejected one by one; a client that sends more violates the protocol.
+/// The limit on the skipped commands of a client that await an error response each; exceeding the limit is a
+/// protocol violation.
 const MAX_SKIPPED_COMMANDS: usize = 10_000;
 
-/// The memory that all clients share for commands sent ahead.
+/// The memory budget that all clients share for commands sent ahead.
 #[derive(Debug)]
 pub(crate) struct ReadAheadBudget {
     large_buffers: Cell<usize>,
-    /// Where bytes are read to that are discarded.
+    /// The buffer into which bytes are read that are discarded.
     scratch: RefCell<Vec<u8>>,
 }
 
 impl ReadAheadBudget {
-    /// A budget with a scratch buffer of this size, in bytes.
+    /// Creates a budget with a scratch buffer of this size, in bytes.
     pub(crate) fn new(scratch_size: usize) -> Self {
         Self { large_buffers: Cell::new(0), scratch: RefCell::new(vec![0; scratch_size]) }
     }
 
-    /// Reads once from the stream and discards the bytes; gives their number, which is 0 at the end of the stream.
+    /// Reads once from the stream and discards the bytes. Returns the number of bytes read; 0 at the end of
+    /// the stream.
     pub(crate) async fn discard(&self, stream: &Async<TcpStream>) -> io::Result<usize> {
         discard(stream, &self.scratch).await
     }
 }
 
-/// The permission of one client to have a large buffer.
+/// A client's permit for a large buffer; dropping it returns the permit to the budget.
 struct LargeBufferPermit {
     budget: Rc<ReadAheadBudget>,
 }
 
 impl LargeBufferPermit {
-    /// Takes a permit if there is one left.
+    /// Acquires a permit; `None` if all permits are in use.
     fn try_acquire(budget: &Rc<ReadAheadBudget>) -> Option<Self> {
         let in_use = budget.large_buffers.get();
         if in_use >= MAX_LARGE_BUFFERS {
@@ -64,16 +66,16 @@
     }
 }
 
-/// The commands of one client that came after its buffer was full.
+/// The commands of one client that arrived after its buffer was full.
 #[derive(Default)]
 struct SkippedCommands {
     skipper: QuerySkipper,
-    /// Why the stream can't be followed any further.
+    /// The error after which the stream can't be parsed any further.
     error: Option<ProtocolError>,
 }
 
 impl SkippedCommands {
-    /// Skips what follows the last complete command in the buffer, and removes it from there.
+    /// Starts skipping: removes the bytes after the last complete command from the buffer and skips them.
     fn begin(buffer: &mut ReadBuffer) -> Self {
         let mut skipped = Self::default();
         let mut complete = 0;
@@ -96,28 +98,28 @@
         if self.error.is_none() {
             self.error = self.skipper.advance(bytes).err();
         }
-        if self.skipper.queries() > MAX_SKIPPED_COMMANDS {
+        if self.skipper.query_count() > MAX_SKIPPED_COMMANDS {
             self.error = Some(ProtocolError::Malformed("stream of commands"));
         }
     }
 }
 
-/// What follows the commands in the buffer.
+/// The skipped input that follows the commands in the buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextSkipped {
-    /// No skipped command.
+    /// There is no skipped input.
     None,
-    /// So many complete commands, which are to be rejected.
+    /// The given number of complete commands, which are to be rejected.
     Commands(usize),
-    /// A command of which a part has not been read yet.
+    /// A command that has not been read completely.
     Incomplete,
-    /// The end of the session.
+    /// Terminate: the client ends the session.
     Terminate,
     /// A violation of the protocol.
     Invalid(ProtocolError),
 }
 
-/// What one client has sent ahead, beside the commands in its buffer.
+/// The read-ahead state of one client, apart from the commands in its buffer.
 pub(crate) struct ReadAhead {
     budget: Rc<ReadAheadBudget>,
     large_buffer: Option<LargeBufferPermit>,
@@ -125,17 +127,17 @@
 }
 
 impl ReadAhead {
-    /// A client that has sent nothing yet.
+    /// Creates the state of a client that has sent nothing ahead.
     pub(crate) fn new(budget: Rc<ReadAheadBudget>) -> Self {
         Self { budget, large_buffer: None, skipped: None }
     }
 
-    /// Whether commands are skipped at the moment.
+    /// Whether commands are currently skipped rather than buffered.
     pub(crate) fn is_skipping(&self) -> bool {
         self.skipped.is_some()
     }
 
-    /// Reads until the client has closed its connection.
+    /// Reads until the client closes its connection or reading fails.
     pub(crate) async fn read_until_closed(&mut self, stream: &Async<TcpStream>, buffer: &mut ReadBuffer) {
         while self.skipped.is_none() {
             if self.is_full(buffer) {
@@ -145,12 +147,13 @@
             }
         }
         while self.skip(stream).await {
-            // A client that sends at full speed must not hold up the others.
+            // A client that sends at full speed must not delay other clients.
             yield_now().await;
         }
     }
 
-    /// Whether the client may buffer nothing more; takes a permit for a large buffer if it needs one.
+    /// Whether no more bytes may be buffered for the client; acquires a permit for a large buffer when
+    /// necessary.
     fn is_full(&mut self, buffer: &ReadBuffer) -> bool {
         let buffered = buffer.data().len();
         if self.large_buffer.is_none() && buffered >= BUFFER_LIMIT {
@@ -160,7 +163,7 @@
         buffered >= limit
     }
 
-    /// Reads and skips once; false at the end of the stream.
+    /// Reads once and skips the bytes; false at the end of the stream or when reading fails.
     pub(crate) async fn skip(&mut self, stream: &Async<TcpStream>) -> bool {
         let Ok(count @ 1..) = self.budget.discard(stream).await else { return false };
         if let Some(skipped) = &mut self.skipped {
@@ -169,17 +172,18 @@
         true
     }
 
-    /// Releases the permit for a large buffer, unless so many buffered bytes still need it.
+    /// Releases the permit for a large buffer, unless this number of buffered bytes requires it.
     pub(crate) fn release_unused_permit(&mut self, buffered: usize) {
         if buffered < BUFFER_LIMIT {
             self.large_buffer = None;
         }
     }
 
-    /// What comes next, once all commands in the buffer have been answered. Complete skipped commands are given once.
+    /// Takes the next skipped input; to be called once all commands in the buffer have been answered.
+    /// Complete skipped commands are reported once.
     pub(crate) fn take_next(&mut self) -> NextSkipped {
         let Some(skipped) = &mut self.skipped else { return NextSkipped::None };
-        let queries = skipped.skipper.take_queries();
+        let queries = skipped.skipper.take_query_count();
         if queries > 0 {
             return NextSkipped::Commands(queries);
         }
--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -1,4 +1,4 @@
-//! Making a request of a statement, and serving it until it has its final response.
+//! Creates a request from a statement and serves the request until it has its final response.
 
 use crate::buffer::ReadBuffer;
 use crate::client::cancellation::CancellableSession;
@@ -14,24 +14,24 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// A request with its statement, ready to be routed.
-pub(super) struct RoutedRequest<'a> {
-    /// The request.
+/// A request that owns its statement and is ready to be routed.
+pub(super) struct RoutableRequest<'a> {
+    /// The request with its statement.
     pub(super) request: ClientRequest<ClientStatement>,
-    /// Its id, which is in use until the request has its final response.
+    /// The reservation of the request's id, held until the client has received the final response.
     pub(super) id: OpenRequestId<'a>,
 }
 
 /// A request whose statement is still in the read buffer.
-pub(super) struct UnsentRequest<'a> {
+pub(super) struct BufferedRequest<'a> {
     request: ClientRequest<()>,
     id: OpenRequestId<'a>,
-    /// Where the digits of the timeout are in the statement.
+    /// The byte range of the timeout's digits in the statement.
     timeout_digits: Range<usize>,
 }
 
-impl<'a> UnsentRequest<'a> {
-    /// The request that a statement makes; `None` if its class is unknown or its id in use.
+impl<'a> BufferedRequest<'a> {
+    /// Creates the request that a statement describes; `None` if its class is unknown or its id is in use.
     pub(super) fn new(
         context: &'a ClientContext,
         statement: &str,
@@ -52,20 +52,21 @@
         Some(Self { request, id, timeout_digits: comment.timeout_digits.clone() })
     }
 
-    /// Takes the statement out of the buffer, where it is the message of `size` bytes at the front.
-    pub(super) fn take_statement(self, buffer: &mut ReadBuffer, size: usize) -> RoutedRequest<'a> {
+    /// Takes the statement out of the buffer; the buffer must start with the statement's message of `size`
+    /// bytes.
+    pub(super) fn take_statement(self, buffer: &mut ReadBuffer, size: usize) -> RoutableRequest<'a> {
         let Self { request, id, timeout_digits } = self;
         let (buffer, message) = buffer.detach(size);
         let text = message.start + HEADER_SIZE..message.end;
         let timeout_digits = text.start + timeout_digits.start..text.start + timeout_digits.end;
         let ClientRequest { class, session, group, deadline, last_write, query: () } = request;
         let query = ClientStatement { buffer, text, timeout_digits };
-        RoutedRequest { request: ClientRequest { class, session, group, deadline, last_write, query }, id }
+        RoutableRequest { request: ClientRequest { class, session, group, deadline, last_write, query }, id }
     }
 }
 
-/// The session that a request belongs to, by the key in its statement; only writes and the reads that have to see them
-/// have one.
+/// The key of the session that a request belongs to, derived from the first quoted literal in its statement.
+/// Only writes and read-your-writes reads have a session.
 fn session_key(operation: Operation, statement: &str) -> Option<SessionKey> {
     if !matches!(operation, Operation::Write | Operation::Read(Consistency::ReadYourWrites)) {
         return None;
@@ -76,15 +77,16 @@
     Some(SessionKey(hasher.finish()))
 }
 
-/// When the client gives up. Its timeout counts from when it sent the request, which may have waited behind others.
+/// The deadline of a request. The client's timeout counts from the arrival of the request, which may have
+/// waited behind other requests.
 fn deadline(context: &ClientContext, timeout: TimeDelta, arrival_time: Option<Instant>) -> Timestamp {
     let waited = arrival_time.map_or(Duration::ZERO, |arrival| arrival.elapsed());
     let timeout = timeout.min(TimeDelta::from(context.longest_deadline));
     context.router.now() - TimeDelta::from(waited) + timeout
 }
 
-/// Routes a request and waits for its final response. It is abandoned when the client closes its connection or cancels
-/// the request, or the process ends.
+/// Routes a request and waits for its final response. The request is aborted if the client closes its
+/// connection or cancels the request, or if the shutdown terminates requests in flight.
 pub(super) async fn serve_request(
     context: &ClientContext,
     connection: &mut ClientConnection<'_>,
@@ -92,7 +94,7 @@
     request: ClientRequest<ClientStatement>,
     request_id: &str,
 ) -> FinalResponse<QueryResponse> {
-    // A cancellation concerns the request in flight, and none that follows it.
+    // A cancellation affects only the request in flight, not later ones.
     let cancellation = session.next_cancellation();
     let client_closed = async {
         connection.read_until_closed().await;
@@ -113,7 +115,7 @@
     response
 }
 
-/// Records a write that may have run without a response.
+/// Records a write that may have run although no response arrived.
 fn record_if_in_doubt(
     context: &ClientContext,
     class: ClassId,
@@ -130,7 +132,7 @@
     }
 }
 
-/// The last endpoint that may have run a request without a response.
+/// The last endpoint that may have run a request to which no response arrived.
 fn may_have_run_at(response: &FinalResponse<QueryResponse>) -> Option<&EndpointId> {
     match response {
         FinalResponse::Failed { in_doubt_at }
--- a/crates/proxy/src/client/responses.rs
+++ b/crates/proxy/src/client/responses.rs
@@ -1,4 +1,4 @@
-//! The final responses to requests, and the responses to commands that were skipped.
+//! Sends the final responses to requests, and the error responses to skipped commands.
 
 use crate::client::connection::{ClientConnection, ClosedBy};
 use crate::client::errors::{ClientError, ErrorReply};
@@ -8,10 +8,10 @@
 use crate::server::statement::QueryResponse;
 use std::ops::ControlFlow;
 
-/// The number of rejected commands whose responses are sent together.
+/// The number of skipped commands whose error responses are sent in one write.
 const REJECTIONS_PER_WRITE: usize = 64;
 
-/// Sends the final response to a request; `out` is an empty buffer for it.
+/// Sends the final response to a request; `out` is an empty buffer for the response.
 pub(super) async fn send_final_response(
     connection: &ClientConnection<'_>,
     response: FinalResponse<QueryResponse>,
@@ -30,7 +30,7 @@
         FinalResponse::Failed { .. } | FinalResponse::ClientDisconnected { .. } => ErrorReply::RequestFailed,
         FinalResponse::Cancelled { .. } => ErrorReply::RequestCancelled,
     };
-    // A client that has closed its sending side may still be reading.
+    // A client that has closed only its sending side may still be reading.
     if is_disconnected {
         error.write(out, Severity::Fatal);
         connection.send(&[out]).await?;
@@ -53,7 +53,7 @@
     connection.send(&pieces).await
 }
 
-/// Rejects so many commands that were skipped.
+/// Sends an error response to each of `count` skipped commands.
 pub(super) async fn reject_skipped_commands(
     connection: &ClientConnection<'_>,
     counters: &Counters,
--- a/crates/proxy/src/client/session.rs
+++ b/crates/proxy/src/client/session.rs
@@ -1,4 +1,5 @@
-//! The session of one client: its startup, and its commands in order, each answered before the next one begins.
+//! The session of one client: performs the startup and executes the client's commands in order, each of which
+//! is answered before the next one begins.
 
 use crate::client::cancellation::CancellableSession;
 use crate::client::commands::{Command, take_command};
@@ -7,7 +8,7 @@
 use crate::client::context::ClientContext;
 use crate::client::errors::{ClientError, ErrorReply};
 use crate::client::read_ahead::NextSkipped;
-use crate::client::requests::{RoutedRequest, serve_request};
+use crate::client::requests::{RoutableRequest, serve_request};
 use crate::client::responses::{reject_skipped_commands, send_final_response};
 use crate::client::startup::{StartupOutcome, start_session};
 use crate::protocol::write::{self, Severity};
@@ -19,8 +20,8 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// The pause after each rejected command: a client that repeats what was rejected, as fast as it can, would hold up
-/// the others.
+/// The pause after each rejected command: a client that repeats a rejected command as fast as possible would
+/// delay other clients.
 const REJECTION_PAUSE: Duration = Duration::from_millis(50);
 /// The number of rejected commands after which the connection is closed.
 const MAX_REJECTED_COMMANDS: u32 = 8;
@@ -33,12 +34,13 @@
     registration: CancellableSession<'a>,
     connection: ClientConnection<'a>,
     rejected_commands: u32,
-    /// After an error in the extended query protocol, all messages up to Sync are discarded.
+    /// Whether all messages up to the next Sync are discarded, as after an error in the extended query
+    /// protocol.
     skip_until_sync: bool,
 }
 
 impl<'a> ClientSession<'a> {
-    /// The session of a connection that has just been accepted.
+    /// Creates the session of a connection that has just been accepted.
     pub(super) fn new(context: &'a ClientContext, stream: Async<TcpStream>, slot: Slot) -> Self {
         Self {
             context,
@@ -89,7 +91,7 @@
                 return Ok(closed_by);
             }
             self.connection.restart_idle_time();
-            // Many commands sent at once must not hold up other clients.
+            // A client that sends many commands at once must not delay other clients.
             yield_now().await;
             if out.capacity() > MAX_IDLE_RESPONSE_CAPACITY {
                 out = Vec::new();
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Reads more once all commands in the buffer have been answered; skipped commands are rejected first.
+    /// Continues after all commands in the buffer have been answered: rejects skipped commands if there are
+    /// any, and reads more bytes otherwise.
     async fn read_next_command(&mut self) -> Result<ControlFlow<ClosedBy>, ClientError> {
         match self.connection.take_next_skipped() {
             NextSkipped::None | NextSkipped::Incomplete => {
@@ -114,7 +117,7 @@
         Ok(ControlFlow::Continue(()))
     }
 
-    /// Executes a command and sends its response; `out` is an empty buffer for it.
+    /// Executes a command and sends its response; `out` is an empty buffer for the response.
     async fn execute(
         &mut self,
         command: Command<'_>,
@@ -136,13 +139,13 @@
 
     async fn execute_request(
         &mut self,
-        routed: RoutedRequest<'_>,
+        request: RoutableRequest<'_>,
         out: &mut Vec<u8>,
     ) -> Result<ControlFlow<ClosedBy>, ClientError> {
-        let RoutedRequest { request, id } = routed;
+        let RoutableRequest { request, id } = request;
         self.connection.enter_phase(SessionPhase::Established);
         let response = if self.context.shutdown_stages.terminating.is_set() {
-            // There is no time left to serve what waited behind other requests until now.
+            // The shutdown leaves no time for requests that have waited behind others until now.
             self.context.counters.requests.increment();
             self.context.counters.rejected.increment();
             FinalResponse::Rejected(None)
@@ -150,12 +153,12 @@
             serve_request(self.context, &mut self.connection, &self.registration, request, id.as_str()).await
         };
         let flow = send_final_response(&self.connection, response, out).await?;
-        // Until the client has its final response, no other request may use the id.
+        // No other request may use the id before the client has received the final response.
         drop(id);
         Ok(flow)
     }
 
-    /// Rejects a command that is not served.
+    /// Rejects a command that is not served; closes the connection after too many rejected commands.
     async fn reject(
         &mut self,
         error: ErrorReply,
--- a/crates/proxy/src/client/startup.rs
+++ b/crates/proxy/src/client/startup.rs
@@ -1,4 +1,5 @@
-//! The startup of a client's connection: encryption requests, cancel requests, and the start of a session.
+//! The startup of a client's connection: handles encryption requests, cancel requests and the start of a
+//! session.
 
 use crate::client::connection::{ClientConnection, ReadOutcome, SessionPhase};
 use crate::client::connection_slots::Admission;
@@ -6,21 +7,21 @@
 use crate::client::errors::{ClientError, ErrorReply};
 use crate::protocol::{BackendKeyData, StartupMessage, parse_startup_message, write};
 
-/// The response to SSLRequest and GSSENCRequest: no encryption.
+/// The response to SSLRequest and GSSENCRequest: encryption is not supported.
 const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
-/// Room for the messages that start a session.
+/// The capacity of the buffer for the messages that start a session, in bytes.
 const SESSION_START_CAPACITY: usize = 256;
 
-/// What a connection was opened for.
+/// The outcome of the startup of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartupOutcome {
-    /// A session, which has begun.
+    /// A session has started.
     SessionStarted,
-    /// No session: the connection is done with.
+    /// The connection ends without a session.
     Done,
 }
 
-/// Goes through the startup of a connection.
+/// Performs the startup of a connection, which ends with a session, a rejection or a cancel request.
 pub(super) async fn start_session(
     context: &ClientContext,
     connection: &mut ClientConnection<'_>,
@@ -30,10 +31,10 @@
     if await_session_start(context, connection).await? == StartupOutcome::Done {
         return Ok(StartupOutcome::Done);
     }
-    // A slot may have become free since the client was accepted.
+    // A slot may have become free since the client was rejected.
     if admission == Admission::Rejected && connection.try_admit() == Admission::Rejected {
         context.counters.rejected_connections.increment();
-        let error = ErrorReply::TooManyClients { retry_after: context.full_retry_after };
+        let error = ErrorReply::TooManyClients { retry_after: context.no_slot_retry_after };
         connection.close_with_error(error).await?;
         return Ok(StartupOutcome::Done);
     }
@@ -44,7 +45,7 @@
     Ok(StartupOutcome::SessionStarted)
 }
 
-/// Reads startup messages until one starts a session.
+/// Reads startup messages until one of them starts a session or the connection ends.
 async fn await_session_start(
     context: &ClientContext,
     connection: &mut ClientConnection<'_>,
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,5 +1,5 @@
-//! The pooler's clock: Unix time in microseconds, read once at the start and carried on by the monotonic clock, so that
-//! it never runs backwards.
+//! The pooler's clock: Unix time in microseconds. The system time is read once at the start and advanced by
+//! the monotonic clock, which ensures that the time never goes backwards.
 
 use pooler_routing::{TimeDelta, Timestamp};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -7,7 +7,7 @@
 /// The Unix epoch on the router's time scale.
 const EPOCH: Timestamp = Timestamp(0);
 
-/// Unix time that only moves forward.
+/// A Unix clock that never goes backwards; it doesn't follow later adjustments of the system time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -15,7 +15,7 @@
 }
 
 impl Clock {
-    /// A clock anchored at the system's time.
+    /// Starts a clock at the current system time.
     #[must_use]
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -28,7 +28,8 @@
         self.started_unix + TimeDelta::from(self.started.elapsed())
     }
 
-    /// The instant of the monotonic clock at which this clock shows `timestamp`; its start for an earlier timestamp.
+    /// The monotonic instant at which this clock reads `timestamp`; the start of the clock for an earlier
+    /// timestamp.
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
         self.started + (timestamp - self.started_unix).to_duration()
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The configuration file as the platform writes it.
+//! The JSON structure of the configuration file as the platform writes it.
 
 use super::error::ConfigError;
 use crate::discovery::endpoint_list::EndpointList;
@@ -6,10 +6,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The number of descriptors that the process may open, if the file does not set it.
+/// The number of file descriptors that the process may open if the file does not set `limits.sockets`.
 const DEFAULT_SOCKETS: usize = 1_024;
 
-/// The content of the file.
+/// The top level of the configuration file.
 #[derive(Deserialize)]
 pub(super) struct ConfigDocument {
     #[serde(default)]
@@ -26,7 +26,7 @@
     pub(super) settings: Value,
 }
 
-/// The resources that the process may use.
+/// The `limits` of the configuration file; limits other than `sockets` are ignored.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct LimitsDocument {
@@ -40,7 +40,8 @@
 }
 
 impl ConfigDocument {
-    /// The seed, given as a number or as hexadecimal digits; 0 if there is none.
+    /// The seed, which the file gives as a number or as a string of hexadecimal digits; 0 if the file has
+    /// none.
     pub(super) fn seed(&self) -> Result<u64, ConfigError> {
         match &self.seed {
             Value::Null => Ok(0),
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,8 +1,8 @@
-//! Why a configuration can't be used.
+//! Errors of loading and decoding a configuration.
 
 use pooler_routing::settings::SettingsError;
 
-/// Why a configuration can't be used.
+/// The reason why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -10,39 +10,40 @@
     Read {
         /// The file's path.
         path: String,
-        /// The system's error.
+        /// The I/O error.
         error: std::io::Error,
     },
-    /// The file is not the expected JSON; the error names the line and column.
+    /// The file is not JSON, or doesn't have the expected structure; the error names the line and column.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// Something is wrong with the content of a file.
+    /// The content of a file is invalid.
     #[error("{path}: {error}")]
     InFile {
         /// The file's path.
         path: String,
-        /// What is wrong.
+        /// The error in the content.
         error: Box<ConfigError>,
     },
-    /// A setting is missing or unreadable.
+    /// A setting is missing or invalid.
     #[error("configuration: {0}")]
     Settings(#[from] SettingsError),
-    /// The process may open fewer descriptors than a pooler needs.
-    #[error("configuration: limits.sockets is {given}, and at least {needed} are needed")]
+    /// The process may open fewer file descriptors than a pooler requires.
+    #[error("configuration: limits.sockets is {configured}, but at least {required} are required")]
     TooFewSockets {
-        /// The configured number of descriptors.
-        given: usize,
-        /// The number of descriptors that a pooler needs.
-        needed: usize,
+        /// The configured number of file descriptors.
+        configured: usize,
+        /// The least number of file descriptors that a pooler requires.
+        required: usize,
     },
     /// The seed is not a hexadecimal number.
-    #[error("configuration: seed '{0}' is no hexadecimal number")]
+    #[error("configuration: seed '{0}' is not a hexadecimal number")]
     Seed(String),
 }
 
 impl ConfigError {
-    /// Whether the file may be usable shortly afterwards: it could not be read, or is truncated like one that is just
-    /// being written. Errors in a complete file are permanent.
+    /// Whether another read shortly afterwards may succeed: the file could not be read, or its JSON is
+    /// truncated or malformed, as it is while the file is being written. Errors in a complete file are
+    /// permanent.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         match self {
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The pooler's configuration, decoded from the platform's file into plain types. Keys that mean nothing here are ignored.
+//! The pooler's configuration, decoded from the platform's JSON file. Unknown keys are ignored.
 
 mod document;
 mod error;
@@ -15,45 +15,46 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The least number of descriptors with which a pooler can serve a few clients and servers.
+/// The least number of file descriptors with which a pooler can serve a few clients and servers.
 const MIN_SOCKETS: usize = 24;
 
 /// The configuration of a pooler.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The pooler's name.
+    /// The pooler's name, which appears in its log.
     pub name: String,
-    /// The address for clients.
+    /// The address on which the pooler listens for clients.
     pub listen: SocketAddr,
-    /// The address of discovery; `None` where another source provides the endpoints.
+    /// The address of the discovery service; `None` if another source provides the endpoints.
     pub discovery: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// The number of descriptors that the process may open.
+    /// The number of file descriptors that the process may open.
     pub sockets: usize,
-    /// The last known endpoint list, a snapshot.
+    /// The last known endpoint list, as a snapshot; the pooler serves from it until discovery reports.
     pub known: EndpointList,
-    /// The router's settings.
+    /// The settings of the router.
     pub settings: Settings,
-    /// The proxy's settings.
+    /// The settings of the proxy.
     pub proxy: ProxySettings,
 }
 
 impl Config {
-    /// Reads the configuration at `path`.
+    /// Reads and decodes the configuration file at `path`.
     ///
     /// # Errors
     ///
-    /// When it can't be read or decoded.
+    /// When the file can't be read or decoded.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         Self::decode_file(path, std::fs::read_to_string(path))
     }
 
-    /// The same during the start of the process, which retries for a while if the file can't be read.
+    /// Like [`load`](Self::load), for the start of the process: if the file can't be read because of a
+    /// transient error, reading is retried for a limited time.
     ///
     /// # Errors
     ///
-    /// When it can't be read or decoded.
+    /// When the file can't be read or decoded.
     pub fn load_at_start(path: &Path) -> Result<Self, ConfigError> {
         Self::decode_file(path, retry_transient(|| std::fs::read_to_string(path)))
     }
@@ -65,11 +66,11 @@
         Self::decode(&text).map_err(in_file)
     }
 
-    /// Decodes a configuration.
+    /// Decodes a configuration from JSON.
     ///
     /// # Errors
     ///
-    /// When it is not what `DEPLOY` describes, or a setting is missing or unreadable.
+    /// When the text is not of the form that `DEPLOY` describes, or a setting is missing or invalid.
     pub fn decode(text: &str) -> Result<Self, ConfigError> {
         let document: ConfigDocument = serde_json::from_str(text)?;
         let map = SettingsMap::from_json(&document.settings);
@@ -78,7 +79,7 @@
         let seed = document.seed()?;
         let sockets = document.limits.sockets;
         if sockets < MIN_SOCKETS {
-            return Err(ConfigError::TooFewSockets { given: sockets, needed: MIN_SOCKETS });
+            return Err(ConfigError::TooFewSockets { configured: sockets, required: MIN_SOCKETS });
         }
         Ok(Self {
             name: document.name,
@@ -93,12 +94,12 @@
     }
 }
 
-/// The router's settings, including those that the proxy determines.
+/// The settings of the router; some of them are fixed by the proxy rather than configured.
 fn router_settings(map: &SettingsMap) -> Result<Settings, ConfigError> {
     Ok(Settings {
-        // Log positions are Unix times in the protocol, as are the clock's timestamps.
+        // In the protocol, log positions are Unix times, as are the clock's timestamps.
         position_epoch: Timestamp(0),
-        // The proxy watches discovery by itself, and keeps one attempt of a request in flight at a time.
+        // The proxy itself watches discovery, and keeps at most one attempt of a request in flight.
         discovery: Discovery::Push,
         hedging_allowed: false,
         ..map.settings()?
--- a/crates/proxy/src/config/proxy_settings.rs
+++ b/crates/proxy/src/config/proxy_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that concern the proxy rather than the router.
+//! The settings of the proxy, in contrast to those of the router.
 
 use pooler_routing::LoadReportField;
 use pooler_routing::settings::{SettingsError, SettingsMap, duration_from_millis};
@@ -7,30 +7,31 @@
 const DEFAULT_DEADLINE_MS: f64 = 1_000.0;
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 const DEFAULT_SERVER_IDLE_TIMEOUT_MS: f64 = 30_000.0;
-/// The discovery mode in which one service serves the whole fleet.
+/// The discovery mode in which one discovery service serves all poolers of the fleet.
 const SHARED_DISCOVERY: &str = "ask";
 
-/// The settings that concern the proxy rather than the router.
+/// The settings that apply to the proxy and not to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
-    /// The time limit for opening a connection.
+    /// The time limit for opening a connection to a server.
     pub connect_timeout: Duration,
-    /// The idle time after which servers close a connection.
+    /// The idle time after which servers close a connection of their own accord.
     pub server_idle_timeout: Duration,
-    /// The longest deadline of any class.
+    /// The longest deadline of any request class.
     pub longest_deadline: Duration,
-    /// The fields of a load report, with their names.
+    /// The fields of a load report, in order, each with its name.
     pub load_report_fields: Vec<(String, LoadReportField)>,
-    /// Whether discovery is one service for the whole fleet, rather than an agent of this pooler.
+    /// Whether one discovery service serves the whole fleet; otherwise each pooler has a discovery agent of
+    /// its own.
     pub shared_discovery: bool,
 }
 
 impl ProxySettings {
-    /// Decodes the proxy's settings.
+    /// Decodes the proxy's settings from the settings of the configuration.
     ///
     /// # Errors
     ///
-    /// When a value is missing or unreadable.
+    /// When a value is missing or invalid.
     pub(super) fn decode(map: &SettingsMap) -> Result<Self, SettingsError> {
         Ok(Self {
             longest_deadline: longest_deadline(map)?,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,10 @@
-//! The proxy: the router's decisions on real sockets. One executor on one thread runs all tasks.
+//! The proxy: executes the router's decisions on sockets. One executor on one thread runs all tasks.
 //!
-//! [`client`] accepts connections and reads requests; [`request`] serves each as the router commands through the
-//! [`router_handle`]; [`server`] makes the attempts. [`discovery`] keeps the router informed about the endpoints, and
-//! [`lifecycle`] handles signals, reloads and the shutdown.
+//! - [`client`] accepts connections and reads requests.
+//! - [`request`] serves each request by executing the router's commands, received through [`router_handle`].
+//! - [`server`] makes the attempts.
+//! - [`discovery`] reports endpoint changes to the router.
+//! - [`lifecycle`] handles signals, reloads and the shutdown.
 
 mod assembly;
 pub mod buffer;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,22 +1,22 @@
-//! Counters of the pooler's work, and the status report that shows them.
+//! The pooler's counters, and the status report that contains them.
 
 use pooler_routing::AttemptOutcome;
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::rc::Rc;
 
-/// A count that only grows.
+/// A monotonic counter that saturates at `u64::MAX`.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
+    /// Adds 1.
     pub fn increment(&self) {
         self.0.set(self.0.get().saturating_add(1));
     }
 }
 
-/// All counters since the start.
+/// All counters; they count from the start of the process.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Client connections accepted.
@@ -27,15 +27,15 @@
     pub evicted_connections: Counter,
     /// Requests submitted to the router.
     pub requests: Counter,
-    /// Statements answered with an error because they are not requests.
+    /// Statements answered with an error because they are not served as requests.
     pub rejected_statements: Counter,
     /// Attempts that the router dispatched to an endpoint.
     pub attempts: Counter,
     /// Requests answered with a server's response.
     pub served: Counter,
-    /// Requests rejected: they did not run.
+    /// Requests rejected; they certainly did not run.
     pub rejected: Counter,
-    /// Requests failed: they may or may not have run.
+    /// Requests failed; they may or may not have run.
     pub failed: Counter,
     /// Requests whose client disconnected before the response.
     pub client_disconnects: Counter,
@@ -43,20 +43,20 @@
     pub cancelled: Counter,
     /// Connections opened to servers.
     pub server_connections_opened: Counter,
-    /// Idle server connections closed because they failed the validation before reuse.
+    /// Idle server connections closed because they failed validation before reuse.
     pub failed_validations: Counter,
-    /// Waits of a connection for descriptors, ports or memory of this machine, or for the pool's limit.
+    /// Waits of a connection for file descriptors, ports or memory of this machine, or for the pool's limit.
     pub resource_waits: Counter,
     /// Health checks sent.
     pub health_checks: Counter,
     /// Configurations reloaded.
     pub config_reloads: Counter,
-    /// Watches opened at discovery.
+    /// Watches opened on the discovery service.
     pub watches_opened: Counter,
     outcomes: [Counter; OUTCOME_NAMES.len()],
 }
 
-/// The name of each outcome of an attempt, in the order in which they are shown.
+/// The name of each attempt outcome in the status report, in the order of output.
 const OUTCOME_NAMES: [(AttemptOutcome, &str); 11] = [
     (AttemptOutcome::Ok, "ok"),
     (AttemptOutcome::Error, "error"),
@@ -72,7 +72,7 @@
 ];
 
 impl Counters {
-    /// Counts the outcome of an attempt.
+    /// Increments the counter of this attempt outcome.
     pub fn record_outcome(&self, outcome: AttemptOutcome) {
         for ((named, _), counter) in OUTCOME_NAMES.iter().zip(&self.outcomes) {
             if *named == outcome {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The counters with their names, in the order in which they are shown.
+    /// The counters with their names in the status report, in the order of output.
     fn named(&self) -> [(&'static str, &Counter); 17] {
         [
             ("client_connections", &self.client_connections),
@@ -118,7 +118,8 @@
     }
 }
 
-/// What is logged on SIGUSR1 and at exit: the counters, and further sections that other parts add.
+/// The report that is logged on SIGUSR1 and at exit: the counters, and the sections that other components
+/// add.
 #[derive(Default)]
 pub struct StatusReport {
     counters: Rc<Counters>,
@@ -126,18 +127,18 @@
 }
 
 impl StatusReport {
-    /// A report of these counters, with no further sections.
+    /// Creates a report of these counters without further sections.
     #[must_use]
     pub fn new(counters: Rc<Counters>) -> Self {
         Self { counters, sections: RefCell::default() }
     }
 
-    /// Adds a section, which is formatted anew each time that the report is logged.
+    /// Adds a section; it is formatted anew each time the report is logged.
     pub fn add_section(&self, section: Rc<dyn fmt::Display>) {
         self.sections.borrow_mut().push(section);
     }
 
-    /// Writes the report to the log, a line for each section.
+    /// Logs the report, one line per section.
     pub fn log(&self) {
         tracing::info!("{}", self.counters);
         for section in self.sections.borrow().iter() {
--- a/crates/proxy/src/pooler.rs
+++ b/crates/proxy/src/pooler.rs
@@ -1,4 +1,4 @@
-//! The pooler, as the program uses it.
+//! The pooler's public interface: construction, extension points and the main loop.
 
 use crate::assembly::{Assembly, StartError};
 use crate::config::Config;
@@ -10,51 +10,53 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// A pooler that listens, and serves nothing until it runs. Further sources of endpoints are added before that.
+/// A pooler whose sockets are open; it serves clients once [`run`](Self::run) is called. Further sources of
+/// endpoints are added before that.
 pub struct Pooler {
     name: String,
     assembly: Assembly,
 }
 
 impl Pooler {
-    /// Creates a pooler and opens its sockets. `config_file` is the file of `config`, which is read again on SIGHUP.
+    /// Creates a pooler and opens its sockets. `config_file` is the file that `config` was loaded from; it is
+    /// read again on SIGHUP.
     ///
     /// # Errors
     ///
-    /// When it can't listen, or signals can't be handled.
+    /// When the listening socket can't be opened, or the signal handlers can't be installed.
     pub fn new(config: Config, config_file: PathBuf) -> Result<Self, StartError> {
         Ok(Self { assembly: Assembly::start(&config, config_file)?, name: config.name })
     }
 
-    /// Accepts what a further source of endpoints reports.
+    /// The interface through which a further source of endpoints reports its updates.
     #[must_use]
     pub fn endpoint_updates(&self) -> EndpointUpdates {
         self.assembly.updates.clone()
     }
 
-    /// The address that it listens on.
+    /// The address on which the pooler listens for clients.
     #[must_use]
     pub fn listening(&self) -> SocketAddr {
         self.assembly.listening
     }
 
-    /// The stages of its shutdown.
+    /// The stages of the graceful shutdown.
     #[must_use]
     pub fn shutdown_stages(&self) -> Rc<ShutdownStages> {
         self.assembly.stages.clone()
     }
 
-    /// Runs a task beside the others, for as long as the pooler runs.
+    /// Runs an additional task on the pooler's executor for as long as the pooler runs.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.assembly.executor.spawn(task).detach();
     }
 
-    /// Adds a section to the report that is logged on request and at exit.
+    /// Adds a section to the status report, which is logged on SIGUSR1 and at exit.
     pub fn add_to_status_report(&self, section: Rc<dyn Display>) {
         self.assembly.status_report.add_section(section);
     }
 
-    /// Serves until a signal has shut it down, and then awaits `last`.
+    /// Serves clients until a signal has shut the pooler down, then awaits `last` and logs the status report.
     pub fn run(self, last: impl Future<Output = ()>) {
         let Assembly { executor, stages, status_report, listening, .. } = self.assembly;
         tracing::info!("{} listening on {listening}", self.name);
--- a/crates/proxy/src/protocol/backend.rs
+++ b/crates/proxy/src/protocol/backend.rs
@@ -1,4 +1,4 @@
-//! The messages that a server sends.
+//! Parsing of the messages that a server sends.
 
 use super::error::ProtocolError;
 use super::limits::MAX_VALUE_SIZE;
@@ -6,37 +6,39 @@
 use super::sql_state::SqlState;
 use super::{backend_tag, error_field};
 
-/// The largest ErrorResponse, NoticeResponse or NotificationResponse.
+/// The largest length of an ErrorResponse, NoticeResponse or NotificationResponse, in bytes.
 const MAX_NOTICE_LENGTH: usize = 8 * 1024;
-/// The largest ParameterStatus or RowDescription.
+/// The largest length of a ParameterStatus or RowDescription, in bytes.
 const MAX_DESCRIPTION_LENGTH: usize = 1_024;
-/// The largest authentication message, BackendKeyData or CommandComplete.
+/// The largest length of an authentication message, BackendKeyData or CommandComplete, in bytes.
 const MAX_STATUS_LENGTH: usize = 256;
 
-/// The column count of a row with one column.
+/// The column count of a row with one column, as encoded in the message.
 const ONE_COLUMN: [u8; 2] = [0, 1];
-/// The size of a DataRow around the value of its only column: the length, the column count and the value's length.
+/// The part of a DataRow's length that is not the value of its only column, in bytes: the message length, the
+/// column count and the value length.
 const DATA_ROW_OVERHEAD: usize = LENGTH_SIZE + ONE_COLUMN.len() + 4;
-/// The size of a column's description in a RowDescription, its name left out.
+/// The size of a column's description in a RowDescription without the column's name, in bytes.
 const COLUMN_DESCRIPTION_SIZE: usize = 18;
-/// The length that a DataRow gives for NULL.
+/// The value length that denotes NULL in a DataRow.
 const NULL_LENGTH: i32 = -1;
 
-/// The fields of an ErrorResponse that decide what becomes of the query and its connection.
+/// The fields of an ErrorResponse that determine how the query and its connection are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// Its code.
+    /// The SQLSTATE code of the error.
     pub sql_state: SqlState,
-    /// The server closes the connection after it.
+    /// Whether the server closes the connection after the error.
     pub fatal: bool,
 }
 
-/// Parses the message at the front of `data` from a server; `None` while it is incomplete. A message that no response
-/// contains is rejected by its header, before its body has arrived.
+/// Parses the server message at the start of `data`; `None` while the message is incomplete. A message that
+/// can't be part of a response is rejected by its header, before its body has arrived.
 ///
 /// # Errors
 ///
-/// When it is of a type that no server sends here, or its length is over the limit of its type.
+/// When the message is of a type that no server sends to the pooler, or its length is invalid or exceeds the
+/// limit of its type.
 pub fn parse_backend_message(data: &[u8]) -> Result<Option<Message<'_>>, ProtocolError> {
     let Some(&tag) = data.first() else { return Ok(None) };
     let max_length = match tag {
@@ -59,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// When a field is not terminated, or there is no code of five bytes.
+/// When a field is not zero-terminated, or there is no SQLSTATE code of five bytes.
 pub fn parse_error_response(body: &[u8]) -> Result<ErrorResponse, ProtocolError> {
     let malformed = ProtocolError::Malformed("error fields");
     let mut sql_state = None;
@@ -84,18 +86,18 @@
 ///
 /// # Errors
 ///
-/// When it is not two zero-terminated strings.
+/// When the body is not exactly two zero-terminated UTF-8 strings.
 pub fn parse_parameter_status(body: &[u8]) -> Result<(&str, &str), ProtocolError> {
     let (name, rest) = message::split_c_string(body, "parameter")?;
     let value = message::parse_c_string(rest, "parameter")?;
     Ok((name, value))
 }
 
-/// Parses the body of a DataRow with one column and gives its value; `None` for NULL.
+/// Parses the body of a DataRow with one column and returns the column's value; `None` for NULL.
 ///
 /// # Errors
 ///
-/// When it is not a row of exactly one column.
+/// When the body is not a row of exactly one column.
 pub fn parse_data_row(body: &[u8]) -> Result<Option<&[u8]>, ProtocolError> {
     let malformed = ProtocolError::Malformed("row");
     let Some((&ONE_COLUMN, rest)) = body.split_first_chunk::<2>() else { return Err(malformed) };
@@ -107,19 +109,19 @@
     }
 }
 
-/// Whether `body` is that of a ReadyForQuery: one byte with the transaction status.
+/// Whether `body` is a valid body of a ReadyForQuery: one byte with the transaction status.
 #[must_use]
 pub fn is_ready_for_query(body: &[u8]) -> bool {
     matches!(body, [b'I' | b'T' | b'E'])
 }
 
-/// Whether `body` is that of a RowDescription of one column.
-pub(super) fn describes_one_column(body: &[u8]) -> bool {
+/// Whether `body` is a valid body of a RowDescription of one column.
+pub(super) fn is_single_column_description(body: &[u8]) -> bool {
     let Some((&ONE_COLUMN, rest)) = body.split_first_chunk::<2>() else { return false };
     message::split_c_string(rest, "column").is_ok_and(|(_, rest)| rest.len() == COLUMN_DESCRIPTION_SIZE)
 }
 
-/// Whether `body` is that of a CommandComplete: a tag of printable characters.
+/// Whether `body` is a valid body of a CommandComplete: a command tag of printable ASCII characters.
 pub(super) fn is_command_complete(body: &[u8]) -> bool {
     let is_printable = |byte: u8| byte == b' ' || byte.is_ascii_graphic();
     message::parse_c_string(body, "tag").is_ok_and(|tag| !tag.is_empty() && tag.bytes().all(is_printable))
--- a/crates/proxy/src/protocol/backend_tag.rs
+++ b/crates/proxy/src/protocol/backend_tag.rs
@@ -1,4 +1,4 @@
-//! The tags of the messages that a server sends.
+//! The message type bytes of the messages that a server sends.
 
 /// AuthenticationOk and the other authentication messages.
 pub const AUTHENTICATION: u8 = b'R';
--- a/crates/proxy/src/protocol/error.rs
+++ b/crates/proxy/src/protocol/error.rs
@@ -1,20 +1,20 @@
-//! Why a stream of messages can't be parsed.
+//! Errors of the protocol parsers.
 
-/// A violation of the protocol, after which the stream can't be followed any further.
+/// A violation of the protocol. The stream can't be parsed any further after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The length is one that no message has, or is over the limit.
+    /// The length of a message, in bytes, is smaller than its length word or exceeds the limit.
     #[error("a message gives its length as {0}")]
     InvalidLength(u32),
-    /// The protocol version is not 3.
+    /// The client requested a major protocol version other than 3.
     #[error("protocol version {major}.{minor} is not spoken here")]
     UnsupportedVersion {
-        /// The major version.
+        /// The requested major version.
         major: u16,
-        /// The minor version.
+        /// The requested minor version.
         minor: u16,
     },
-    /// The contents of a message are not what its type requires; the text names the part.
+    /// A part of the stream is malformed; the text names the part.
     #[error("malformed {0}")]
     Malformed(&'static str),
 }
--- a/crates/proxy/src/protocol/error_field.rs
+++ b/crates/proxy/src/protocol/error_field.rs
@@ -1,4 +1,4 @@
-//! The types of the fields of an ErrorResponse.
+//! The field type bytes of an ErrorResponse.
 
 /// The severity, possibly localized.
 pub(super) const SEVERITY: u8 = b'S';
@@ -6,7 +6,7 @@
 pub(super) const SEVERITY_NON_LOCALIZED: u8 = b'V';
 /// The SQLSTATE code.
 pub(super) const CODE: u8 = b'C';
-/// The message for people.
+/// The human-readable message.
 pub(super) const MESSAGE: u8 = b'M';
-/// The detail.
+/// The optional detail of the message.
 pub(super) const DETAIL: u8 = b'D';
--- a/crates/proxy/src/protocol/frontend.rs
+++ b/crates/proxy/src/protocol/frontend.rs
@@ -1,51 +1,53 @@
-//! The messages that a client sends.
+//! Parsing of the messages that a client sends.
 
 use super::error::ProtocolError;
 use super::limits::{MAX_FRONTEND_MESSAGE_SIZE, MAX_STARTUP_MESSAGE_SIZE};
 use super::message::{self, LENGTH_SIZE, Message};
 
-/// The major protocol version that is spoken.
+/// The only major protocol version that is supported.
 const PROTOCOL_MAJOR_VERSION: u16 = 3;
-/// In place of a major version: the minor version is a request code.
+/// The value in place of the major version that marks the minor version as a request code.
 const REQUEST_CODE_MARKER: u16 = 1234;
 const CANCEL_REQUEST_CODE: u16 = 5678;
 const SSL_REQUEST_CODE: u16 = 5679;
 const GSSENC_REQUEST_CODE: u16 = 5680;
 
-/// The key of a session as the server announces it in BackendKeyData, and a client repeats it in a CancelRequest.
+/// The cancellation key of a session: the server sends it in BackendKeyData, and the client repeats it in a
+/// CancelRequest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct BackendKeyData {
     /// Identifies the session.
     pub process_id: u32,
-    /// The secret that only the session's client knows.
+    /// The secret that is known only to the session's client and the server.
     pub secret_key: u32,
 }
 
-/// A message that opens a connection.
+/// The first message of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupMessage {
-    /// SSLRequest or GSSENCRequest: answered with one byte, after which another startup message follows.
+    /// SSLRequest or GSSENCRequest: answered with one byte; the client then sends another startup message.
     EncryptionRequest,
-    /// CancelRequest: cancels the query that the session with this key has in flight; it gets no response.
+    /// CancelRequest: cancels the query in flight of the session with this key; there is no response.
     CancelRequest(BackendKeyData),
-    /// StartupMessage: a session begins.
+    /// StartupMessage: starts a session.
     SessionStart,
 }
 
-/// Parses the message at the front of `data`; `None` while it is incomplete.
+/// Parses the client message at the start of `data`; `None` while the message is incomplete.
 ///
 /// # Errors
 ///
-/// When the length is impossible or over [`MAX_FRONTEND_MESSAGE_SIZE`].
+/// When the length is smaller than its own word or exceeds [`MAX_FRONTEND_MESSAGE_SIZE`].
 pub fn parse_frontend_message(data: &[u8]) -> Result<Option<Message<'_>>, ProtocolError> {
     message::parse_message(data, MAX_FRONTEND_MESSAGE_SIZE)
 }
 
-/// Parses the startup message at the front of `data` and gives its size; `None` while it is incomplete.
+/// Parses the startup message at the start of `data`; also returns its size in bytes. `None` while the
+/// message is incomplete.
 ///
 /// # Errors
 ///
-/// When its length or version is impossible.
+/// When the length is out of range, the protocol version is not supported, or the body is malformed.
 pub fn parse_startup_message(data: &[u8]) -> Result<Option<(StartupMessage, usize)>, ProtocolError> {
     let Some(size) = message::parse_length(data, MAX_STARTUP_MESSAGE_SIZE)? else { return Ok(None) };
     let Some(body) = data.get(LENGTH_SIZE..size) else { return Ok(None) };
@@ -63,7 +65,7 @@
     Ok(Some((startup, size)))
 }
 
-/// Parses the body of a CancelRequest, which begins with the request code.
+/// Parses the body of a CancelRequest, request code included.
 fn parse_cancel_request(body: &[u8]) -> Result<BackendKeyData, ProtocolError> {
     let &[_, _, _, _, p, q, r, s, t, u, v, w] = body else {
         return Err(ProtocolError::Malformed("cancel request"));
@@ -74,11 +76,11 @@
     })
 }
 
-/// Parses the body of a Query and gives its statement.
+/// Parses the body of a Query and returns its statement.
 ///
 /// # Errors
 ///
-/// When it is no zero-terminated string.
+/// When the body is not a single zero-terminated UTF-8 string.
 pub fn parse_query(body: &[u8]) -> Result<&str, ProtocolError> {
     message::parse_c_string(body, "query")
 }
--- a/crates/proxy/src/protocol/frontend_tag.rs
+++ b/crates/proxy/src/protocol/frontend_tag.rs
@@ -1,4 +1,4 @@
-//! The tags of the messages that a client sends.
+//! The message type bytes of the messages that a client sends.
 
 /// Bind (extended query protocol).
 pub const BIND: u8 = b'B';
--- a/crates/proxy/src/protocol/message.rs
+++ b/crates/proxy/src/protocol/message.rs
@@ -1,31 +1,32 @@
-//! The framing that all messages but the startup messages share: a tag, a length that counts itself, and a body.
+//! The framing of all messages except the startup messages: a type byte (tag), a length that includes its own
+//! word, and a body.
 
 use super::error::ProtocolError;
 
-/// The size of a message's tag.
+/// The size of a message's tag, in bytes.
 pub(super) const TAG_SIZE: usize = 1;
-/// The size of the length word, which counts itself.
+/// The size of the length word, in bytes. The length includes its own word and excludes the tag.
 pub(super) const LENGTH_SIZE: usize = 4;
-/// The size of a message without its body.
+/// The size of a message without its body, in bytes.
 pub const HEADER_SIZE: usize = TAG_SIZE + LENGTH_SIZE;
 
-/// A complete message.
+/// A complete message, borrowed from the buffer that it was read into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// The byte that gives the message's type; see [`frontend_tag`](super::frontend_tag) and
+    /// The message type byte; see [`frontend_tag`](super::frontend_tag) and
     /// [`backend_tag`](super::backend_tag).
     pub tag: u8,
-    /// The bytes after the length.
+    /// The bytes after the length word.
     pub body: &'a [u8],
-    /// The size of the message in the stream, tag and length included.
+    /// The size of the message in the stream, in bytes, tag and length word included.
     pub size: usize,
 }
 
-/// Parses the message at the front of `data`; `None` while it is incomplete.
+/// Parses the message at the start of `data`; `None` while the message is incomplete.
 ///
 /// # Errors
 ///
-/// When the length is impossible or over `max_length`.
+/// When the length is smaller than its own word or exceeds `max_length`.
 pub(super) fn parse_message(data: &[u8], max_length: usize) -> Result<Option<Message<'_>>, ProtocolError> {
     let Some((&tag, rest)) = data.split_first() else { return Ok(None) };
     let Some(length) = parse_length(rest, max_length)? else { return Ok(None) };
@@ -33,11 +34,11 @@
     Ok(body.map(|body| Message { tag, body, size: TAG_SIZE + length }))
 }
 
-/// Parses the length word at the front of `data`; `None` while it is incomplete.
+/// Parses the length word at the start of `data`; `None` while the word is incomplete.
 ///
 /// # Errors
 ///
-/// When the length does not even count itself, or is over `max_length`.
+/// When the length is smaller than its own word or exceeds `max_length`.
 pub(super) fn parse_length(data: &[u8], max_length: usize) -> Result<Option<usize>, ProtocolError> {
     let Some(bytes) = data.first_chunk::<LENGTH_SIZE>() else { return Ok(None) };
     let word = u32::from_be_bytes(*bytes);
@@ -48,28 +49,28 @@
     Ok(Some(length))
 }
 
-/// Splits a zero-terminated string off the front of `data`; `what` names it in errors.
+/// Splits the zero-terminated string at the start of `data` from the rest; `part` names the string in errors.
 ///
 /// # Errors
 ///
 /// When there is no terminator, or the string is not UTF-8.
 pub(super) fn split_c_string<'a>(
     data: &'a [u8],
-    what: &'static str,
+    part: &'static str,
 ) -> Result<(&'a str, &'a [u8]), ProtocolError> {
-    let end = data.iter().position(|byte| *byte == 0).ok_or(ProtocolError::Malformed(what))?;
-    let string = std::str::from_utf8(&data[..end]).map_err(|_| ProtocolError::Malformed(what))?;
+    let end = data.iter().position(|byte| *byte == 0).ok_or(ProtocolError::Malformed(part))?;
+    let string = std::str::from_utf8(&data[..end]).map_err(|_| ProtocolError::Malformed(part))?;
     Ok((string, &data[end + 1..]))
 }
 
-/// Parses a body that is one zero-terminated string and nothing else; `what` names it in errors.
+/// Parses a body that consists of one zero-terminated string; `part` names the string in errors.
 ///
 /// # Errors
 ///
-/// When there is no terminator, the string is not UTF-8, or something follows it.
-pub(super) fn parse_c_string<'a>(body: &'a [u8], what: &'static str) -> Result<&'a str, ProtocolError> {
-    match split_c_string(body, what)? {
+/// When there is no terminator, the string is not UTF-8, or anything follows the terminator.
+pub(super) fn parse_c_string<'a>(body: &'a [u8], part: &'static str) -> Result<&'a str, ProtocolError> {
+    match split_c_string(body, part)? {
         (string, []) => Ok(string),
-        _ => Err(ProtocolError::Malformed(what)),
+        _ => Err(ProtocolError::Malformed(part)),
     }
 }
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -1,8 +1,8 @@
-//! The PostgreSQL frontend/backend protocol, version 3, as far as simple queries need it.
+//! The subset of the PostgreSQL frontend/backend protocol, version 3, that simple queries require.
 //!
-//! Parsers and writers do no I/O: a parsed [`Message`] borrows from the buffer that it was read into. What the
-//! operator's protocol calls by names of its own (the keys of a request's comment, the parameters that a server sends
-//! beside a response) is mapped to this crate's terms here and nowhere else.
+//! Parsers and writers do no I/O: a parsed [`Message`] borrows from the buffer that it was read into. The
+//! operator-specific names in the protocol (the keys of a request comment, the parameters that a server sends
+//! with a response) are mapped to this crate's terms only in this module.
 
 mod backend;
 pub mod backend_tag;
--- a/crates/proxy/src/protocol/query_skipper.rs
+++ b/crates/proxy/src/protocol/query_skipper.rs
@@ -1,28 +1,28 @@
-//! Skipping commands that a client has sent ahead: they are told apart by their headers, and no body is kept.
+//! Skips commands that a client has sent ahead: only their headers are parsed, and no body is buffered.
 
 use super::error::ProtocolError;
 use super::frontend_tag;
 use super::limits::MAX_FRONTEND_MESSAGE_SIZE;
 use super::message::{self, HEADER_SIZE, TAG_SIZE};
 
-/// Skips a stream of simple queries that arrives in pieces of any size.
+/// Skips a stream of simple queries that arrives in pieces of any size, and counts them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuerySkipper {
     header: [u8; HEADER_SIZE],
-    /// How many bytes of the header have arrived.
+    /// The number of bytes of the current message's header that have arrived.
     header_size: usize,
-    /// How many bytes of the body are still to come, once the header is complete.
+    /// The number of bytes of the body that have not arrived yet; valid once the header is complete.
     body_remaining: usize,
-    queries: usize,
+    query_count: usize,
     terminated: bool,
 }
 
 impl QuerySkipper {
-    /// Skips the next bytes.
+    /// Skips the next bytes of the stream; bytes after a Terminate are ignored.
     ///
     /// # Errors
     ///
-    /// When they hold a message other than Query and Terminate, or one with an impossible length.
+    /// When the bytes contain a message other than Query and Terminate, or one with an invalid length.
     pub fn advance(&mut self, mut bytes: &[u8]) -> Result<(), ProtocolError> {
         while !bytes.is_empty() && !self.terminated {
             if self.header_size < HEADER_SIZE {
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Adds bytes to the header until it is complete, and gives the bytes after those.
+    /// Appends bytes to the header until it is complete, and returns the remaining bytes.
     fn read_header<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let count = bytes.len().min(HEADER_SIZE - self.header_size);
         self.header[self.header_size..self.header_size + count].copy_from_slice(&bytes[..count]);
@@ -55,7 +55,7 @@
             return Err(ProtocolError::Malformed("message far ahead"));
         }
         let length = message::parse_length(&self.header[TAG_SIZE..], MAX_FRONTEND_MESSAGE_SIZE)?;
-        // The length counts its own word, which is part of the header.
+        // The length includes its own word, which is part of the header.
         self.body_remaining = length.map_or(0, |length| length + TAG_SIZE - HEADER_SIZE);
         Ok(())
     }
@@ -63,29 +63,30 @@
     fn finish_message(&mut self) {
         self.header_size = 0;
         match self.header[0] {
-            frontend_tag::QUERY => self.queries += 1,
+            frontend_tag::QUERY => self.query_count += 1,
             _ => self.terminated = true,
         }
     }
 
-    /// How many complete queries have been skipped since they were last taken.
+    /// The number of complete queries skipped since the last call of
+    /// [`take_query_count`](Self::take_query_count).
     #[must_use]
-    pub fn queries(&self) -> usize {
-        self.queries
+    pub fn query_count(&self) -> usize {
+        self.query_count
     }
 
-    /// Resets the number of skipped queries, and gives what it was.
-    pub fn take_queries(&mut self) -> usize {
-        std::mem::take(&mut self.queries)
+    /// Returns the number of skipped queries and resets it to 0.
+    pub fn take_query_count(&mut self) -> usize {
+        std::mem::take(&mut self.query_count)
     }
 
-    /// Whether the stream is between two messages.
+    /// Whether no message is partly read.
     #[must_use]
     pub fn is_between_messages(&self) -> bool {
         self.header_size == 0
     }
 
-    /// Whether the client has sent Terminate.
+    /// Whether a Terminate has been read.
     #[must_use]
     pub fn is_terminated(&self) -> bool {
         self.terminated
--- a/crates/proxy/src/protocol/response_parser.rs
+++ b/crates/proxy/src/protocol/response_parser.rs
@@ -1,7 +1,7 @@
-//! The response to one simple query, checked message by message.
+//! Validation of the response to one simple query, message by message.
 
 use super::backend::{
-    ErrorResponse, describes_one_column, is_command_complete, is_ready_for_query, parse_data_row,
+    ErrorResponse, is_command_complete, is_ready_for_query, is_single_column_description, parse_data_row,
     parse_error_response, parse_parameter_status,
 };
 use super::backend_tag;
@@ -10,15 +10,16 @@
 use super::server_status::ServerStatus;
 use super::sql_state::SqlState;
 
-/// The state of one response: RowDescription of one column, one DataRow and CommandComplete, or an ErrorResponse;
-/// ReadyForQuery ends both. Any other sequence is an error, and nothing of such a response counts.
+/// The parser of one response. A response is either RowDescription of one column, one DataRow and
+/// CommandComplete, or an ErrorResponse; ReadyForQuery ends both. Any other sequence of messages is an error,
+/// and such a response is discarded as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseParser {
     state: ResponseState,
     server_status: ServerStatus,
 }
 
-/// The last message of the response that was accepted.
+/// The last message that was accepted as a part of the value or the error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ResponseState {
     #[default]
@@ -29,32 +30,32 @@
     Error(ErrorResponse),
 }
 
-/// What a message means for the response that it belongs to.
+/// The role of a message in its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
     /// The message is forwarded to the client.
     Forward {
-        /// The size of the row's value, which ends the message; 0 in messages other than DataRow.
+        /// The size of the row's value at the end of the message, in bytes; 0 in messages other than DataRow.
         value_size: usize,
     },
     /// The message is not forwarded.
     Ignore,
     /// The server closes the connection after the message.
     Fatal,
-    /// The response has ended.
+    /// The response is complete, and the connection is ready for the next query.
     Ready,
 }
 
 impl ResponseParser {
-    /// Accepts the next message.
+    /// Validates the next message of the response.
     ///
     /// # Errors
     ///
-    /// When the message may not come at this point or is malformed; the response is invalid then.
+    /// When the message is malformed or not allowed at this point; the response is then invalid.
     pub fn accept(&mut self, message: &Message<'_>) -> Result<ResponsePart, ProtocolError> {
         let body = message.body;
         match (self.state, message.tag) {
-            (ResponseState::Start, backend_tag::ROW_DESCRIPTION) if describes_one_column(body) => {
+            (ResponseState::Start, backend_tag::ROW_DESCRIPTION) if is_single_column_description(body) => {
                 self.state = ResponseState::RowDescription;
                 Ok(ResponsePart::Forward { value_size: 0 })
             }
@@ -89,13 +90,13 @@
         }
     }
 
-    /// Whether the value, or the error, has arrived completely.
+    /// Whether the value or the error is complete; ReadyForQuery may still be outstanding.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         matches!(self.state, ResponseState::CommandComplete | ResponseState::Error(_))
     }
 
-    /// The code of the error that the response is; `None` for a value.
+    /// The SQLSTATE code of an error response; `None` for a value or an incomplete response.
     #[must_use]
     pub fn error_code(&self) -> Option<SqlState> {
         match self.state {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// What the server reported of itself beside the response.
+    /// The status that the server reported in ParameterStatus messages during the response.
     #[must_use]
     pub fn into_server_status(self) -> ServerStatus {
         self.server_status
--- a/crates/proxy/src/protocol/server_status.rs
+++ b/crates/proxy/src/protocol/server_status.rs
@@ -1,9 +1,10 @@
-//! What a server reports of itself in ParameterStatus messages beside a response, and its load reports.
+//! The status that a server reports in ParameterStatus messages during a response: its role, log position and
+//! load report.
 
 use super::milliseconds;
 use pooler_routing::{LoadReportField, ResponseMetadata, Role, Timestamp};
 
-/// The parameter with the server's role, and its two values.
+/// The parameter with the server's role.
 const ROLE_PARAMETER: &str = "part";
 const ROLE_PRIMARY: &str = "master";
 const ROLE_REPLICA: &str = "replica";
@@ -12,22 +13,22 @@
 /// The parameter with the server's load report.
 const LOAD_REPORT_PARAMETER: &str = "gauges";
 
-/// No log position in a parameter is a Unix time in milliseconds of this or beyond.
+/// The exclusive upper limit of plausible log positions in a parameter, a Unix time in milliseconds.
 const MAX_LOG_POSITION_MILLIS: f64 = 1e14;
-/// No log position in a load report is a Unix time in seconds of this or beyond.
+/// The exclusive upper limit of plausible log positions in a load report, a Unix time in seconds.
 const MAX_LOG_POSITION_SECONDS: f64 = 1e11;
 
-/// The state of a server as it reported it beside a response.
+/// The status of a server as reported during a response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerStatus {
     role: Option<Role>,
     log_position: Option<Timestamp>,
-    /// The load report, not parsed yet.
+    /// The unparsed load report.
     load_report: Option<String>,
 }
 
 impl ServerStatus {
-    /// Records one parameter; those that mean nothing here are ignored.
+    /// Records one parameter; unknown parameters are ignored.
     pub fn set_parameter(&mut self, name: &str, value: &str) {
         match (name, value) {
             (ROLE_PARAMETER, ROLE_PRIMARY) => self.role = Some(Role::Primary),
@@ -38,7 +39,8 @@
         }
     }
 
-    /// The metadata for the router; `None` if the server reported neither its role nor its log position.
+    /// The response metadata for the router; `None` if the server reported neither its role nor its log
+    /// position.
     #[must_use]
     pub fn response_metadata(&self) -> Option<ResponseMetadata> {
         if self.role.is_none() && self.log_position.is_none() {
@@ -47,22 +49,22 @@
         Some(ResponseMetadata { role: self.role, position: self.log_position })
     }
 
-    /// The values of the load report in the order of `fields`; `None` without a valid report.
+    /// The values of the load report, in the order of `fields`; `None` without a valid report.
     #[must_use]
     pub fn load_report(&self, fields: &[(String, LoadReportField)]) -> Option<Vec<f64>> {
         parse_load_report(self.load_report.as_deref()?, fields)
     }
 }
 
-/// Parses a log position, a Unix time in milliseconds.
+/// Parses a log position, a Unix time in milliseconds; `None` if it is implausible.
 fn parse_log_position(value: &str) -> Option<Timestamp> {
     let millis: f64 = value.parse().ok()?;
     let is_plausible = (0.0..MAX_LOG_POSITION_MILLIS).contains(&millis);
     is_plausible.then(|| milliseconds::to_timestamp(millis))
 }
 
-/// Parses a load report such as `inflight=7,util=0.61` into its values in the order of `fields`. A report that lacks a
-/// field, repeats one or gives it an impossible value is `None` as a whole.
+/// Parses a load report such as `inflight=7,util=0.61` into its values in the order of `fields`. Returns
+/// `None` if any field is missing, repeated or has an invalid value.
 #[must_use]
 pub fn parse_load_report(report: &str, fields: &[(String, LoadReportField)]) -> Option<Vec<f64>> {
     let pairs: Option<Vec<_>> = report.split(',').map(|pair| pair.trim().split_once('=')).collect();
@@ -72,7 +74,7 @@
     values.filter(|values| !values.is_empty())
 }
 
-/// The value of the field called `name`; `None` if it is missing, repeated or impossible.
+/// The value of the field called `name`; `None` if the field is missing, repeated or has an invalid value.
 fn field_value(pairs: &[(&str, &str)], name: &str, field: LoadReportField) -> Option<f64> {
     let mut matching = pairs.iter().filter(|(key, _)| key.trim() == name);
     let (_, text) = matching.next()?;
@@ -80,10 +82,10 @@
         return None;
     }
     let value: f64 = text.trim().parse().ok()?;
-    let is_possible = match field {
+    let is_valid = match field {
         LoadReportField::Position => value < MAX_LOG_POSITION_SECONDS,
         LoadReportField::Primary => value == 0.0 || value == 1.0,
         LoadReportField::Other => true,
     };
-    (is_possible && value.is_finite() && value >= 0.0).then_some(value)
+    (is_valid && value.is_finite() && value >= 0.0).then_some(value)
 }
--- a/crates/proxy/src/protocol/sql_state.rs
+++ b/crates/proxy/src/protocol/sql_state.rs
@@ -1,9 +1,10 @@
 //! SQLSTATE error codes.
 
-/// The size of an error code, in bytes.
+/// The size of an SQLSTATE code, in bytes.
 const CODE_SIZE: usize = 5;
 
-/// The SQLSTATE code of an error. The constants carry the condition names of PostgreSQL's documentation.
+/// The SQLSTATE code of an error. The constants are named after the condition names in PostgreSQL's
+/// documentation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SqlState(pub [u8; CODE_SIZE]);
 
@@ -28,7 +29,7 @@
     pub const SNAPSHOT_TOO_OLD: Self = Self(*b"72000");
 }
 
-/// A code that has not five bytes.
+/// The error for a code that is not five bytes long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an SQLSTATE code has {CODE_SIZE} bytes")]
 pub struct InvalidSqlState;
--- a/crates/proxy/src/protocol/statement.rs
+++ b/crates/proxy/src/protocol/statement.rs
@@ -1,18 +1,18 @@
-//! The statement of a Query: the comment that describes a request, and the quoted key.
+//! Parsing of the statement of a Query: the comment that describes the request, and the quoted key.
 
 use super::error::ProtocolError;
 use super::milliseconds;
 use pooler_routing::{GroupId, TimeDelta, Timestamp};
 use std::ops::Range;
 
-/// The longest request id, in bytes.
+/// The largest length of a request id, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 64;
-/// Timeouts are shorter than this, in milliseconds.
+/// The exclusive upper limit of timeouts, in milliseconds.
 const TIMEOUT_LIMIT_MILLIS: f64 = 1e9;
-/// Commands that change only the session's own state.
+/// The commands that change only the session's own state.
 const SESSION_COMMANDS: [&str; 3] = ["SET", "RESET", "DISCARD"];
 
-/// The keys of a request's comment.
+/// The keys of the fields in a request comment.
 mod comment_key {
     pub(super) const REQUEST_ID: &str = "id";
     pub(super) const CLASS: &str = "c";
@@ -23,41 +23,43 @@
 
 const MALFORMED_COMMENT: ProtocolError = ProtocolError::Malformed("request comment");
 
-/// The comment of a request.
+/// The parsed comment of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestComment<'a> {
-    /// The client's id of the request.
+    /// The id that the client gave the request.
     pub request_id: &'a str,
     /// The name of the request's class.
     pub class: &'a str,
-    /// How long the client waits for a response.
+    /// The time for which the client waits for a response.
     pub timeout: TimeDelta,
-    /// Where the timeout's digits are in the statement: they are rewritten for each attempt.
+    /// The byte range of the timeout's digits in the statement. The digits are rewritten for each attempt.
     pub timeout_digits: Range<usize>,
-    /// The group of endpoints.
+    /// The group of endpoints to which the request is addressed; group 0 if the comment names none.
     pub group: GroupId,
-    /// When the session last committed, in Unix time; only in deployments whose clients say so.
+    /// The time of the session's last commit, in Unix time; `None` in deployments whose clients don't send
+    /// it.
     pub last_write: Option<Timestamp>,
 }
 
-/// What a statement asks of the pooler.
+/// The kind of a statement, by which the pooler decides how to handle it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StatementKind<'a> {
     /// An empty statement.
     Empty,
-    /// A change of the session's own state, which has no effect here; the command tag of its response.
+    /// A command that changes only the session's own state, which has no effect in the pooler; the command
+    /// tag of the response.
     SessionCommand(&'static str),
     /// A request to route.
     Request(RequestComment<'a>),
-    /// Anything else, which is not supported.
+    /// Any other statement; not supported.
     Unsupported,
 }
 
-/// Tells what kind of statement it is.
+/// Determines the kind of a statement.
 ///
 /// # Errors
 ///
-/// When it has the comment of a request, and a part of the comment is missing, repeated or malformed.
+/// When the statement ends with a comment in which a field is missing, repeated or malformed.
 pub fn classify_statement(statement: &str) -> Result<StatementKind<'_>, ProtocolError> {
     let trimmed = statement.trim_matches(is_padding);
     if trimmed.is_empty() {
@@ -71,19 +73,19 @@
     Ok(command.map_or(StatementKind::Unsupported, StatementKind::SessionCommand))
 }
 
-/// Whether a character around a statement has no meaning.
+/// Whether a character is insignificant before and after a statement.
 fn is_padding(character: char) -> bool {
     character.is_ascii_whitespace() || character == ';'
 }
 
-/// Where the text of the comment at the end of a statement is, its delimiters left out.
+/// The byte range of the comment at the end of a statement, delimiters excluded.
 fn trailing_comment(statement: &str) -> Option<Range<usize>> {
     let end = statement.trim_end_matches(is_padding).strip_suffix("*/")?.len();
     let start = statement[..end].rfind("/*")? + 2;
     Some(start..end)
 }
 
-/// The values of a comment by their keys, not parsed yet.
+/// The unparsed field values of a comment.
 #[derive(Default)]
 struct CommentFields<'a> {
     request_id: Option<&'a str>,
@@ -94,7 +96,7 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Splits the comment in this range of the statement into its fields; unknown keys are ignored.
+    /// Splits the comment at `range` of the statement into its fields; unknown keys are ignored.
     fn split(statement: &'a str, range: Range<usize>) -> Result<Self, ProtocolError> {
         let mut fields = Self::default();
         let mut pair_start = range.start;
@@ -114,7 +116,7 @@
                 comment_key::LAST_WRITE => fields.last_write.replace(value).is_some(),
                 _ => false,
             };
-            // A server might go by the other one of two values.
+            // A server might use the other one of two values.
             if is_repeated {
                 return Err(MALFORMED_COMMENT);
             }
@@ -135,7 +137,8 @@
 }
 
 fn parse_timeout(text: &str) -> Result<TimeDelta, ProtocolError> {
-    // Signs, exponents, "inf" and "nan" are turned down: the standard library would parse them all.
+    // Signs, exponents, "inf" and "nan" are rejected here because the standard library would parse all of
+    // them.
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return Err(MALFORMED_COMMENT);
     }
@@ -159,7 +162,8 @@
         && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
 }
 
-/// The first quoted string literal of a statement, without its quotes; a doubled quote in it stays doubled.
+/// The first quoted string literal of a statement, without the enclosing quotes; doubled quotes are not
+/// unescaped.
 #[must_use]
 pub fn first_quoted_literal(statement: &str) -> Option<&str> {
     let start = statement.find('\'')? + 1;
--- a/crates/proxy/tests/buffer.rs
+++ b/crates/proxy/tests/buffer.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
-/// Both ends of a connection.
+/// Opens a connection and returns its client end and its server end.
 fn connection() -> (TcpStream, Async<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -15,7 +15,7 @@
 }
 
 /// Sends the bytes, and reads until the buffer holds them.
-fn send(buffer: &mut ReadBuffer, client: &mut TcpStream, server: &Async<TcpStream>, bytes: &[u8]) {
+fn send_and_fill(buffer: &mut ReadBuffer, client: &mut TcpStream, server: &Async<TcpStream>, bytes: &[u8]) {
     let expected = buffer.data().len() + bytes.len();
     client.write_all(bytes).unwrap();
     while buffer.data().len() < expected {
@@ -24,38 +24,38 @@
 }
 
 #[test]
-fn bytes_keep_the_time_at_which_they_arrived() {
+fn bytes_keep_their_arrival_time_when_others_are_consumed_or_truncated() {
     let (mut client, server) = connection();
     let mut buffer = ReadBuffer::default();
-    send(&mut buffer, &mut client, &server, b"first");
-    send(&mut buffer, &mut client, &server, b"second");
+    send_and_fill(&mut buffer, &mut client, &server, b"first");
+    send_and_fill(&mut buffer, &mut client, &server, b"second");
     let first = buffer.arrival_time(5).unwrap();
     let second = buffer.arrival_time(6).unwrap();
     assert!(first < second);
     assert_eq!(buffer.arrival_time(11), Some(second));
-    assert_eq!(buffer.arrival_time(12), None, "not read yet");
+    assert_eq!(buffer.arrival_time(12), None, "the twelfth byte has not been read");
 
     buffer.consume(5);
     assert_eq!((buffer.data(), buffer.arrival_time(1)), (&b"second"[..], Some(second)));
     buffer.truncate(3);
     assert_eq!((buffer.data(), buffer.arrival_time(3)), (&b"sec"[..], Some(second)));
-    assert_eq!(buffer.arrival_time(4), None, "truncated as if never read");
+    assert_eq!(buffer.arrival_time(4), None, "truncated bytes count as not read");
 }
 
 #[test]
 fn detached_bytes_stay_valid_while_the_buffer_reads_on() {
     let (mut client, server) = connection();
     let mut buffer = ReadBuffer::default();
-    send(&mut buffer, &mut client, &server, b"-statement-next");
+    send_and_fill(&mut buffer, &mut client, &server, b"-statement-next");
     buffer.consume(1);
     let (bytes, detached) = buffer.detach(9);
-    send(&mut buffer, &mut client, &server, b" one");
+    send_and_fill(&mut buffer, &mut client, &server, b" one");
     assert_eq!(&bytes[detached], b"statement");
     assert_eq!(buffer.data(), b"-next one");
 }
 
 #[test]
-fn a_read_gives_zero_at_the_end_of_the_stream() {
+fn a_read_returns_zero_at_the_end_of_the_stream() {
     let (client, server) = connection();
     drop(client);
     let mut buffer = ReadBuffer::default();
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn a_configuration_is_decoded_with_defaults_and_what_the_proxy_determines() {
+fn a_configuration_is_decoded_with_defaults_and_settings_fixed_by_the_proxy() {
     let config = decode(&document()).unwrap();
     assert_eq!((config.name.as_str(), config.seed, config.sockets), ("n1", 0x8c1f_30d2_7a5b_e964, 1_024));
     assert_eq!(config.discovery, None);
-    assert!(config.known.is_snapshot, "the known list is all that is known");
+    assert!(config.known.is_snapshot, "the known endpoint list is a snapshot");
     assert_eq!((config.known.generation, config.known.endpoints.len()), (7, 1));
     let proxy = config.proxy;
-    assert_eq!(proxy.connect_timeout, Duration::from_millis(250), "the default");
+    assert_eq!(proxy.connect_timeout, Duration::from_millis(250), "the default connect timeout");
     assert_eq!(proxy.server_idle_timeout, Duration::from_secs(6));
     assert_eq!(proxy.longest_deadline, Duration::from_millis(2_500));
     assert!(proxy.shared_discovery);
@@ -46,7 +46,7 @@
     assert_eq!(proxy.load_report_fields, fields);
     assert_eq!(config.settings.discovery, Discovery::Push);
     assert_eq!(config.settings.position_epoch, Timestamp(0));
-    assert!(!config.settings.hedging_allowed, "one attempt is in flight at a time");
+    assert!(!config.settings.hedging_allowed, "at most one attempt of a request is in flight");
 }
 
 #[test]
@@ -63,18 +63,18 @@
 }
 
 #[test]
-fn a_pooler_needs_a_few_descriptors() {
+fn a_configuration_with_fewer_than_24_descriptors_is_rejected() {
     let sockets = |count: usize| {
         let mut document = document();
         document["limits"]["sockets"] = json!(count);
         decode(&document).map(|config| config.sockets)
     };
     assert_eq!(sockets(24).unwrap(), 24);
-    assert!(matches!(sockets(23), Err(ConfigError::TooFewSockets { given: 23, needed: 24 })));
+    assert!(matches!(sockets(23), Err(ConfigError::TooFewSockets { configured: 23, required: 24 })));
 }
 
 #[test]
-fn only_a_file_that_may_be_being_written_is_worth_another_look() {
+fn only_unreadable_and_truncated_files_are_transient_errors() {
     let complete = document().to_string();
     let truncated = &complete[..complete.len() / 2];
     assert!(Config::decode(truncated).unwrap_err().is_transient());
@@ -105,11 +105,11 @@
     assert_eq!((first.zone.as_str(), first.started_at), ("z", Some(Timestamp(1_500_500))));
     assert_eq!((second.address, second.lifecycle, second.primary), (None, Lifecycle::Removed, false));
     assert_eq!((second.group, second.started_at), (None, None));
-    assert_eq!(third.lifecycle, Lifecycle::Draining, "an unknown state gets no new work");
+    assert_eq!(third.lifecycle, Lifecycle::Draining, "an endpoint in an unknown state gets no new requests");
 }
 
 #[test]
-fn a_list_that_resets_is_a_snapshot() {
+fn an_endpoint_list_with_reset_is_a_snapshot() {
     let list: EndpointList = serde_json::from_value(json!({"generation": 1, "reset": true})).unwrap();
     assert_eq!(list.watch_event(9), WatchEvent::Snapshot { claims: Vec::new(), version: 9 });
 }
--- a/crates/proxy/tests/parsers.rs
+++ b/crates/proxy/tests/parsers.rs
@@ -1,4 +1,5 @@
-//! The parsers on arbitrary input: none panics, and none gives a message before its last byte has arrived.
+//! The parsers on arbitrary input: no parser panics, and none returns a message before its last byte has
+//! arrived.
 
 use pooler_proxy::discovery::http;
 use pooler_proxy::protocol::{
@@ -13,7 +14,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_input_makes_a_parser_panic(data in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn no_parser_panics_on_arbitrary_input(data in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(Some(message)) = protocol::parse_frontend_message(&data) {
             prop_assert!(message.size <= data.len());
             prop_assert_eq!(message.body.len(), message.size - protocol::HEADER_SIZE);
@@ -65,16 +66,16 @@
         for piece in data.chunks(piece_size) {
             prop_assert_eq!(skipper.advance(piece), Ok(()));
         }
-        prop_assert_eq!(skipper.take_queries(), sizes.len());
+        prop_assert_eq!(skipper.take_query_count(), sizes.len());
         prop_assert_eq!((skipper.is_between_messages(), skipper.is_terminated()), (started == 0, false));
         prop_assert_eq!(skipper.advance(&last_query[started..]), Ok(()));
-        prop_assert_eq!((skipper.take_queries(), skipper.is_between_messages()), (1, true));
+        prop_assert_eq!((skipper.take_query_count(), skipper.is_between_messages()), (1, true));
         prop_assert!(skipper.clone().advance(b"P\0\0\0\x08").is_err(), "not a query");
-        prop_assert!(skipper.advance(b"Q\x7f\0\0\0").is_err(), "an impossible length");
+        prop_assert!(skipper.advance(b"Q\x7f\0\0\0").is_err(), "invalid length");
     }
 
     #[test]
-    fn a_response_is_one_value_or_one_error_and_nothing_else(tags in "[TDCESNZ]{1,7}") {
+    fn only_a_single_value_or_a_single_error_is_a_response(tags in "[TDCESNZ]{1,7}") {
         let row_description = [&b"\0\x01content\0"[..], &[0; 18]].concat();
         let body = |tag: char| match tag {
             'T' => row_description.clone(),
@@ -93,7 +94,7 @@
             forwarded += usize::from(matches!(part, Ok(ResponsePart::Forward { .. })));
             part
         });
-        // Up to the first error or the end of the response.
+        // Parses up to the first error or the end of the response.
         let end = parts.take_while(Result::is_ok).map(Result::unwrap).find(|part| *part == ResponsePart::Ready);
         let without_notices: String = tags.chars().filter(|tag| !"SN".contains(*tag)).collect();
         let is_value = without_notices.starts_with("TDCZ");
@@ -106,15 +107,15 @@
     }
 
     #[test]
-    fn an_impossible_load_report_is_ignored(report in "(x0=(1767225600.5|inf|1e99|-1|)|x1=(0|1|2|nan)|x2=1|noise){1}(,(x1=(0|1|7)|x0=5))?") {
+    fn an_invalid_load_report_is_ignored(report in "(x0=(1767225600.5|inf|1e99|-1|)|x1=(0|1|2|nan)|x2=1|noise){1}(,(x1=(0|1|7)|x0=5))?") {
         let fields = [("x0".to_owned(), LoadReportField::Position), ("x1".to_owned(), LoadReportField::Primary)];
-        let possible = ["x0=1767225600.5,x1=0", "x0=1767225600.5,x1=1", "x1=0,x0=5", "x1=1,x0=5"];
-        let is_possible = possible.contains(&report.as_str());
-        prop_assert_eq!(parse_load_report(&report, &fields).is_some(), is_possible, "{}", report);
+        let valid_reports = ["x0=1767225600.5,x1=0", "x0=1767225600.5,x1=1", "x1=0,x0=5", "x1=1,x0=5"];
+        let is_valid = valid_reports.contains(&report.as_str());
+        prop_assert_eq!(parse_load_report(&report, &fields).is_some(), is_valid, "{}", report);
     }
 
     #[test]
-    fn a_request_comment_gives_the_place_of_its_timeout(timeout in 0_u32..100_000, key in "[a-z'é/*]{0,12}") {
+    fn the_byte_range_of_a_timeout_is_reported(timeout in 0_u32..100_000, key in "[a-z'é/*]{0,12}") {
         let key = key.replace('\'', "''");
         let statement = format!("SELECT content FROM kv WHERE name = '{key}' /* id=9b, c=menu,d={timeout}, cluster=2 */");
         let Ok(StatementKind::Request(comment)) = classify_statement(&statement) else { panic!("{statement}") };
@@ -126,14 +127,14 @@
 }
 
 #[test]
-fn a_request_comment_with_a_repeated_or_unreadable_value_is_rejected() {
-    // A server may read the first of two timeouts, and only one is rewritten to what the client has left.
+fn a_request_comment_with_a_repeated_or_malformed_value_is_rejected() {
+    // A server may use the first of two timeouts, and only one is rewritten to the client's remaining time.
     let valid = "SELECT 1 /* id=a1,c=any,d=480,cluster=2 */";
     assert!(matches!(classify_statement(valid), Ok(StatementKind::Request(_))));
     for repeated in ["id=a2", "c=other", "d=100", "cluster=3"] {
         let statement = format!("SELECT 1 /* id=a1,c=any,d=480,cluster=2,{repeated} */");
         assert!(classify_statement(&statement).is_err(), "{repeated}");
     }
-    let unreadable = "SELECT 1 /* id=a1,c=any,d=480,cluster=2,after=soon */";
-    assert!(classify_statement(unreadable).is_err(), "an unreadable last write is not the same as none");
+    let malformed = "SELECT 1 /* id=a1,c=any,d=480,cluster=2,after=soon */";
+    assert!(classify_statement(malformed).is_err(), "a malformed last write must not count as a missing one");
 }
