--- a/crates/proxy/src/protocol/sql_state.rs
+++ b/crates/proxy/src/protocol/sql_state.rs
@@ -31,7 +31,7 @@
 
 /// The error for a code that is not five bytes long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an SQLSTATE code has {CODE_SIZE} bytes")]
+#[error("an SQLSTATE code must be {CODE_SIZE} bytes long")]
 pub struct InvalidSqlState;
 
 impl TryFrom<&[u8]> for SqlState {
