--- a/crates/pooler/tests/commands.rs
+++ b/crates/pooler/tests/commands.rs
@@ -74,7 +74,7 @@
     let user = format!("user: {{name: \"n\", password_file: {:?}}}", password.path());
     let file = TempFile::new("user.cue", &fleet.operator_config(&user));
     let CommandResult { exit_code, stderr, .. } = run(&["check", file.path()]);
-    assert!(exit_code == EXIT_CONFIG && stderr.contains("others than its owner"), "{stderr}");
+    assert!(exit_code == EXIT_CONFIG && stderr.contains("accessible only to its owner"), "{stderr}");
 }
 
 #[test]
--- a/crates/service-registry/src/client/connection.rs
+++ b/crates/service-registry/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a registry's server.
+//! An HTTP/1 connection to a server of a registry, plain or over TLS.
 
 use super::error::CallError;
 use super::response::{BodyHandler, read_response};
@@ -19,18 +19,18 @@
 use std::net::TcpStream;
 use std::pin::Pin;
 
-/// The most bytes of a response that are buffered.
+/// Limit of hyper's connection buffer, in bytes.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// An HTTP/1 connection.
+/// An open connection, for one exchange at a time.
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Moves the bytes; ends with the connection.
+    /// Performs the I/O of the connection; completes when the connection ends.
     driver: Pin<Box<dyn Future<Output = ()>>>,
 }
 
 impl Connection {
-    /// Opens a connection, over TLS if the server speaks it.
+    /// Opens a connection, over TLS if the URL of the server has the scheme `https`.
     pub(super) async fn open(server: &RegistryServer, tls: Option<&TlsConnector>) -> Result<Self, CallError> {
         let stream = Async::<TcpStream>::connect(server.address()).await.map_err(CallError::Connect)?;
         stream.get_ref().set_nodelay(true).map_err(CallError::Connect)?;
@@ -38,10 +38,10 @@
         match tls.filter(|_| server.is_tls()) {
             None => Self::handshake(stream).await,
             Some(tls) => {
-                let name = ServerName::try_from(server.host().to_owned()).map_err(|error| {
+                let server_name = ServerName::try_from(server.host().to_owned()).map_err(|error| {
                     CallError::Connect(io::Error::new(io::ErrorKind::InvalidInput, error))
                 })?;
-                let stream = tls.connect(name, stream).await.map_err(CallError::Connect)?;
+                let stream = tls.connect(server_name, stream).await.map_err(CallError::Connect)?;
                 Self::handshake(stream).await
             }
         }
@@ -55,18 +55,18 @@
         builder.max_buf_size(MAX_BUFFERED_BYTES);
         let (sender, connection) = builder.handshake(FuturesIo::new(stream)).await?;
         let driver = Box::pin(async move {
-            // The exchange that is under way learns of an error.
+            // hyper reports a connection error to the pending exchange as well.
             let _ = connection.await;
         });
         Ok(Self { sender, driver })
     }
 
-    /// Whether the server has left it open, as far as can be seen.
+    /// Whether the connection is still open; a close that has not arrived yet goes unnoticed.
     pub(super) async fn is_open(&mut self) -> bool {
         !self.sender.is_closed() && poll_once(self.driver.as_mut()).await.is_none()
     }
 
-    /// Sends a request and hands the response's body to `handler`.
+    /// Sends a request and passes the response body to `handler`.
     pub(super) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -77,7 +77,7 @@
             let response = sender.send_request(request).await?;
             read_response(response, handler).await
         };
-        // Should the driver end first, the exchange learns why.
+        // If the driver completes first, `exchange` still has to return the error that ended the connection.
         let drive = async {
             driver.as_mut().await;
             std::future::pending().await
--- a/crates/service-registry/src/client/credentials.rs
+++ b/crates/service-registry/src/client/credentials.rs
@@ -1,4 +1,4 @@
-//! The files that give a client its password, its trusted authorities and its own certificate.
+//! Credentials of a client, read from files: password, trusted certificate authorities, client certificate.
 
 use super::error::{FileError, SetupError};
 use base64::Engine;
@@ -12,46 +12,47 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The permission bits of a file.
+/// The permission bits of a file mode.
 const PERMISSION_BITS: u32 = 0o777;
-/// The permission bits of others than a file's owner.
+/// The permission bits of users other than the file's owner.
 const GROUP_AND_OTHER_BITS: u32 = 0o077;
 
-/// How a client authenticates itself and its servers.
+/// The credentials of a client, and the certificate authorities that it trusts.
 #[derive(Clone, Debug, Default)]
 pub struct Credentials {
-    /// The user of HTTP basic authentication.
+    /// User and password for HTTP basic authentication.
     pub basic: Option<BasicCredentials>,
-    /// The certificates of the authorities that are trusted, as PEM.
+    /// PEM file with the trusted certificate authorities; without it no TLS server is trusted.
     pub ca_file: Option<PathBuf>,
-    /// The client's own certificate.
+    /// The client certificate for TLS.
     pub identity: Option<ClientIdentity>,
 }
 
-/// A user of HTTP basic authentication.
+/// User and password file for HTTP basic authentication.
 #[derive(Clone, Debug)]
 pub struct BasicCredentials {
-    /// The user's name.
+    /// The user name.
     pub user: String,
-    /// The file that holds the password.
+    /// The file that contains the password. It must be accessible only to its owner; line breaks at the end
+    /// are ignored.
     pub password_file: PathBuf,
 }
 
-/// A client's own certificate and key, as PEM.
+/// A client certificate for TLS and its private key, as PEM files.
 #[derive(Clone, Debug)]
 pub struct ClientIdentity {
-    /// The file of the certificate.
+    /// The file with the certificate chain.
     pub certificate_file: PathBuf,
-    /// The file of the key.
+    /// The file with the private key. It must be accessible only to its owner.
     pub key_file: PathBuf,
 }
 
-/// The `Authorization` header of a user.
+/// The value of the `Authorization` header; reads the password file.
 pub(super) fn basic_authorization(credentials: &BasicCredentials) -> Result<HeaderValue, SetupError> {
     let path = &credentials.password_file;
-    require_private(path)?;
-    let text = std::fs::read_to_string(path).map_err(|error| SetupError::file(path, error))?;
-    let password = text.trim_end_matches(['\r', '\n']);
+    require_owner_only_access(path)?;
+    let contents = std::fs::read_to_string(path).map_err(|error| SetupError::file(path, error))?;
+    let password = contents.trim_end_matches(['\r', '\n']);
     let encoded = STANDARD.encode(format!("{}:{password}", credentials.user));
     let mut value = HeaderValue::from_str(&format!("Basic {encoded}"))
         .map_err(|_| SetupError::file(path, FileError::InvalidPassword))?;
@@ -59,7 +60,7 @@
     Ok(value)
 }
 
-/// A TLS connector that trusts the configured authorities and no others.
+/// A TLS connector that trusts only the configured authorities; the system's trust store is not used.
 pub(super) fn tls_connector(credentials: &Credentials) -> Result<TlsConnector, SetupError> {
     let mut roots = RootCertStore::empty();
     if let Some(path) = &credentials.ca_file {
@@ -72,7 +73,7 @@
         None => builder.with_no_client_auth(),
         Some(identity) => {
             let key_file = &identity.key_file;
-            require_private(key_file)?;
+            require_owner_only_access(key_file)?;
             let chain = read_certificates(&identity.certificate_file)?;
             let key =
                 PrivateKeyDer::from_pem_file(key_file).map_err(|error| SetupError::file(key_file, error))?;
@@ -82,12 +83,12 @@
     Ok(TlsConnector::from(Arc::new(config)))
 }
 
-/// Rejects a file of a secret that others than its owner may use.
-fn require_private(path: &Path) -> Result<(), SetupError> {
+/// Rejects a file with a secret if its mode gives access to users other than its owner.
+fn require_owner_only_access(path: &Path) -> Result<(), SetupError> {
     let metadata = std::fs::metadata(path).map_err(|error| SetupError::file(path, error))?;
     let mode = metadata.permissions().mode() & PERMISSION_BITS;
     if mode & GROUP_AND_OTHER_BITS != 0 {
-        return Err(SetupError::file(path, FileError::NotPrivate { mode }));
+        return Err(SetupError::file(path, FileError::AccessibleToOthers { mode }));
     }
     Ok(())
 }
--- a/crates/service-registry/src/client/error.rs
+++ b/crates/service-registry/src/client/error.rs
@@ -1,4 +1,4 @@
-//! Why a registry can't be called, or gave no response that can be used.
+//! Errors of the registry client: calls without a usable response, and configurations that can't be used.
 
 use crate::eureka::body::BodyError;
 use futures_rustls::rustls;
@@ -8,116 +8,116 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a server gave no response that can be used.
+/// Why a call returned no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection.
-    #[error("no connection: {0}")]
+    /// The TCP connection or the TLS handshake failed.
+    #[error("connection failed: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke, or the response is no HTTP.
-    #[error("{0}")]
+    /// The connection ended during the exchange, or the response is not valid HTTP.
+    #[error("HTTP exchange failed: {0}")]
     Http(#[from] hyper::Error),
-    /// The call timed out.
-    #[error("no answer within {0:?}")]
+    /// The call exceeded this timeout.
+    #[error("no complete response within {0:?}")]
     TimedOut(Duration),
-    /// The response's status is no success.
-    #[error("status {status}")]
+    /// The response has a status other than 2xx.
+    #[error("HTTP status {status}")]
     Status {
-        /// The status.
+        /// The HTTP status code.
         status: u16,
-        /// When to come back, if the response says so.
+        /// The delay of the `Retry-After` header, if it gives one in seconds.
         retry_after: Option<TimeDelta>,
     },
-    /// The body is of a type that is not read.
-    #[error("a body of type '{content_type}'")]
+    /// The content type of the body is not supported, or the response has none.
+    #[error("unsupported content type '{content_type}'")]
     UnsupportedContentType {
-        /// The start of the type.
+        /// The content type, cut to 80 characters; empty if the response has none.
         content_type: String,
     },
-    /// The body can't be decompressed.
-    #[error("the body: {0}")]
+    /// The body is not valid gzip data.
+    #[error("cannot decompress the response body: {0}")]
     Decompression(#[source] io::Error),
-    /// The body can't be read.
-    #[error("the body: {0}")]
+    /// The body can't be decoded.
+    #[error("invalid response body: {0}")]
     Body(#[from] BodyError),
 }
 
-/// Why a server can't be called at all, whatever it would answer.
+/// Why a client can't be set up: an unusable URL, file or TLS configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum SetupError {
-    /// Its URL can't be called.
-    #[error("url '{url}': {error}")]
+    /// The URL of a server can't be used.
+    #[error("registry URL '{url}': {error}")]
     Url {
-        /// The URL, without what may be secret in it.
+        /// The URL without a user name and password.
         url: String,
-        /// What is wrong with it.
+        /// Why the URL can't be used.
         error: UrlError,
     },
-    /// A file can't be used.
+    /// A password, certificate or key file can't be used.
     #[error("{}: {error}", path.display())]
     File {
-        /// Its path.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the file can't be used.
         error: FileError,
     },
-    /// TLS can't be set up.
-    #[error("tls: {0}")]
+    /// The client certificate and its key can't be used for TLS.
+    #[error("cannot set up TLS with the client certificate: {0}")]
     Tls(#[from] rustls::Error),
 }
 
 impl SetupError {
-    /// The error of the file at `path`.
+    /// Creates an error about the file at `path`.
     pub(super) fn file(path: &Path, error: impl Into<FileError>) -> Self {
         Self::File { path: path.to_owned(), error: error.into() }
     }
 }
 
-/// What is wrong with a server's URL.
+/// Why the URL of a server can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UrlError {
-    /// It is no URL.
-    #[error("no URL")]
+    /// The text is not a valid URL.
+    #[error("not a valid URL")]
     Malformed,
-    /// Its scheme is another one.
-    #[error("neither http nor https")]
+    /// The scheme is missing or is neither `http` nor `https`.
+    #[error("the scheme is neither http nor https")]
     UnsupportedScheme,
-    /// It names no host.
-    #[error("no host")]
+    /// The URL has no host.
+    #[error("the host is missing")]
     MissingHost,
-    /// It contains a user, and perhaps a password.
-    #[error("a user stands in it; name a user and a password file instead")]
+    /// The URL contains a user name, and perhaps a password.
+    #[error("user names and passwords are not allowed in the URL; set 'user' with a password file instead")]
     ContainsUser,
-    /// Its host is a name and no address was given.
-    #[error("the host is a name, and names are not looked up: give 'at'")]
+    /// The host is a name, and the configuration gives no address for it.
+    #[error("host names are not looked up; set the server's address with 'at'")]
     HostIsName,
-    /// It contains a query.
-    #[error("a query stands in it")]
+    /// The URL contains a query.
+    #[error("a query is not allowed in the URL")]
     ContainsQuery,
 }
 
-/// What is wrong with a file.
+/// Why a password, certificate or key file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// It holds a secret, and others than its owner may use it.
-    #[error("its mode is {mode:03o}: others than its owner may use it, so it is not used")]
-    NotPrivate {
-        /// Its permission bits.
+    /// The file contains a secret, and its mode gives access to users other than its owner.
+    #[error("file mode is {mode:03o}, but a file with a secret must be accessible only to its owner")]
+    AccessibleToOthers {
+        /// The permission bits of the file.
         mode: u32,
     },
-    /// It is no PEM.
-    #[error("{0}")]
+    /// The file can't be read, or contains no valid PEM data.
+    #[error("cannot read PEM data: {0}")]
     Pem(#[from] pem::Error),
-    /// It holds no certificate.
-    #[error("no certificate stands in it")]
+    /// The file contains no certificate.
+    #[error("file contains no certificate")]
     NoCertificate,
-    /// A certificate in it can't be used.
-    #[error("{0}")]
+    /// A certificate in the file can't be used as a trusted authority.
+    #[error("unusable CA certificate: {0}")]
     Certificate(#[from] rustls::Error),
-    /// Its password contains characters that no header can.
-    #[error("not fit for a header")]
+    /// The password contains characters that an HTTP header can't carry.
+    #[error("password contains characters that are not allowed in an HTTP header")]
     InvalidPassword,
 }
--- a/crates/service-registry/src/client/mod.rs
+++ b/crates/service-registry/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP client of a service registry: one request at a time over one kept connection, in the clear or over TLS. No
-//! request lasts longer than its timeout, and of a response no more is held than the frame that has just arrived.
+//! HTTP client for a service registry: one request at a time over one persistent connection, plain or TLS.
+//! A timeout limits each call. Bodies are streamed: only the last received frame is held in memory.
 
 mod connection;
 mod credentials;
@@ -24,71 +24,72 @@
 use response::ProgressTracker;
 use std::time::Duration;
 
-/// A request to a registry.
+/// A request of the registry's REST API.
 #[derive(Debug)]
 pub struct ApiRequest<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path below the server's own, with a leading slash.
+    /// The path below that of the server's URL, with a leading slash.
     pub path: &'a str,
-    /// A JSON body.
+    /// The JSON body, if the request has one.
     pub json: Option<Vec<u8>>,
 }
 
 impl ApiRequest<'_> {
-    /// A request that reads.
+    /// A `GET` request for `path`, without a body.
     #[must_use]
     pub fn get(path: &str) -> ApiRequest<'_> {
         ApiRequest { method: Method::GET, path, json: None }
     }
 }
 
-/// Calls the servers of a registry, one at a time.
+/// An HTTP client that makes one call at a time, to any server of a registry.
 pub struct Client {
     tls: Option<TlsConnector>,
     authorization: Option<HeaderValue>,
-    timeout: Duration,
+    call_timeout: Duration,
     idle: Option<IdleConnection>,
     connections_opened: u64,
 }
 
-/// A connection that is kept for the next call.
+/// An idle connection that is kept for the next call.
 struct IdleConnection {
     server: RegistryServer,
     connection: Connection,
 }
 
 impl Client {
-    /// A client whose calls last no longer than `timeout`. All files that `credentials` name are read now.
+    /// Creates a client whose calls take at most `call_timeout`. Reads the files that `credentials` names,
+    /// those for TLS only if `use_tls` is set.
     ///
     /// # Errors
     ///
-    /// When a file can't be used, a secret one can be read by others, or TLS can't be set up.
-    pub fn new(credentials: &Credentials, use_tls: bool, timeout: Duration) -> Result<Self, SetupError> {
+    /// When a file can't be used, a file with a secret is accessible to others, or TLS can't be set up.
+    pub fn new(credentials: &Credentials, use_tls: bool, call_timeout: Duration) -> Result<Self, SetupError> {
         let authorization = credentials.basic.as_ref().map(basic_authorization).transpose()?;
         let tls = if use_tls { Some(tls_connector(credentials)?) } else { None };
-        Ok(Self { tls, authorization, timeout, idle: None, connections_opened: 0 })
+        Ok(Self { tls, authorization, call_timeout, idle: None, connections_opened: 0 })
     }
 
-    /// How many connections were opened.
+    /// The number of connections that this client has tried to open, failed attempts included.
     #[must_use]
     pub fn connections_opened(&self) -> u64 {
         self.connections_opened
     }
 
-    /// Makes a call. The response's body goes to `handler`, whose errors end the call. The connection is kept for the
-    /// next call only after a complete response.
+    /// Sends a request and passes the body of the response to `handler`, whose errors abort the call. The
+    /// connection is kept for the next call only after a complete response.
     ///
     /// # Errors
     ///
-    /// When there is no response in time, its status is no success, or it can't be read.
+    /// When no complete response arrives within the timeout, its status is not 2xx, or its body is unusable.
     pub async fn call(
         &mut self,
         server: &RegistryServer,
         request: &ApiRequest<'_>,
         handler: &mut dyn BodyHandler,
     ) -> Result<(), CallError> {
-        let timeout = self.timeout;
+        let timeout = self.call_timeout;
         let expired = async {
             Timer::after(timeout).await;
             Err(CallError::TimedOut(timeout))
@@ -98,7 +99,7 @@
         Ok(())
     }
 
-    /// Sends a request over the kept connection or a new one; returns the connection that it went over.
+    /// Sends a request over the idle connection or a new one; returns the connection that was used.
     async fn exchange(
         &mut self,
         server: &RegistryServer,
@@ -107,31 +108,31 @@
     ) -> Result<Connection, CallError> {
         if let Some(mut connection) = self.take_idle_connection(server).await {
             let mut tracker = ProgressTracker::new(handler);
-            match connection.exchange(self.http_request(server, request), &mut tracker).await {
+            match connection.exchange(self.build_http_request(server, request), &mut tracker).await {
                 Ok(()) => return Ok(connection),
-                // The server closed the connection while it was idle: a new one is opened.
+                // The server closed the idle connection; the request is repeated on a new one.
                 Err(CallError::Http(_)) if !tracker.has_started() => {}
                 Err(error) => return Err(error),
             }
         }
         self.connections_opened += 1;
         let mut connection = Connection::open(server, self.tls.as_ref()).await?;
-        connection.exchange(self.http_request(server, request), handler).await?;
+        connection.exchange(self.build_http_request(server, request), handler).await?;
         Ok(connection)
     }
 
-    /// The kept connection, if it is one to this server and still open.
+    /// Takes the idle connection; `None` if it is closed or belongs to another server.
     async fn take_idle_connection(&mut self, server: &RegistryServer) -> Option<Connection> {
         let idle = self.idle.take().filter(|idle| idle.server == *server)?;
         let mut connection = idle.connection;
         connection.is_open().await.then_some(connection)
     }
 
-    fn http_request(&self, server: &RegistryServer, request: &ApiRequest<'_>) -> Request<Full<Bytes>> {
+    fn build_http_request(&self, server: &RegistryServer, request: &ApiRequest<'_>) -> Request<Full<Bytes>> {
         let body = Bytes::from(request.json.clone().unwrap_or_default());
         let mut http_request = Request::new(Full::new(body));
         *http_request.method_mut() = request.method.clone();
-        // The server's path was checked together with its URL; the rest of the path is made by this crate.
+        // The path of the server was validated with its URL; this crate builds the rest of the path.
         *http_request.uri_mut() = format!("{}{}", server.path(), request.path).parse().unwrap_or_default();
         let host = HeaderValue::from_str(server.name()).unwrap_or(HeaderValue::from_static("registry"));
         let accept = HeaderValue::from_static("application/json, application/xml;q=0.5");
--- a/crates/service-registry/src/client/response.rs
+++ b/crates/service-registry/src/client/response.rs
@@ -1,4 +1,4 @@
-//! Reading a response.
+//! Reads a response and streams its decompressed body to a [`BodyHandler`].
 
 use super::error::CallError;
 use crate::eureka::body::BodyError;
@@ -10,32 +10,32 @@
 use pooler_routing::TimeDelta;
 use std::io::{self, Write};
 
-/// A content type is quoted in errors up to this many characters.
-const MAX_QUOTED_CHARS: usize = 80;
+/// A longer content type is cut in error messages.
+const MAX_CONTENT_TYPE_CHARS: usize = 80;
 
 /// Receives the body of a successful response.
 pub trait BodyHandler {
-    /// Receives the body's type, before any of its bytes.
+    /// Called with the `Content-Type` header of a successful response, before any data; empty without one.
     ///
     /// # Errors
     ///
-    /// When bodies of this type can't be read. It ends the call.
+    /// When the content type is not supported. The error aborts the call.
     fn on_content_type(&mut self, content_type: &str) -> Result<(), UnsupportedContentType>;
 
-    /// Receives the next bytes, decompressed.
+    /// Called with the next bytes of the body, decompressed.
     ///
     /// # Errors
     ///
-    /// When the body can't be used. It ends the call.
+    /// When the body can't be decoded. The error aborts the call.
     fn on_data(&mut self, data: &[u8]) -> Result<(), BodyError>;
 }
 
-/// A body's type is not supported.
+/// The handler does not support the content type of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unsupported content type")]
 pub struct UnsupportedContentType;
 
-/// Ignores the body.
+/// Accepts any content type and discards the body.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiscardBody;
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Passes a body on, and records whether any of it has arrived.
+/// Forwards a body to another handler, and records whether a successful response has begun to arrive.
 pub(super) struct ProgressTracker<'h> {
     handler: &'h mut dyn BodyHandler,
     has_started: bool,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reads a response to its end and hands its body to `handler`.
+/// Reads a response to its end and passes its body to `handler`. A status other than 2xx is an error.
 pub(super) async fn read_response(
     mut response: Response<Incoming>,
     handler: &mut dyn BodyHandler,
@@ -85,13 +85,13 @@
     if !status.is_success() {
         return Err(CallError::Status { status: status.as_u16(), retry_after: retry_after(&response) });
     }
-    let content_type = text_header(&response, header::CONTENT_TYPE).unwrap_or_default();
+    let content_type = header_text(&response, header::CONTENT_TYPE).unwrap_or_default();
     handler.on_content_type(content_type).map_err(|UnsupportedContentType| {
         CallError::UnsupportedContentType {
-            content_type: content_type.chars().take(MAX_QUOTED_CHARS).collect(),
+            content_type: content_type.chars().take(MAX_CONTENT_TYPE_CHARS).collect(),
         }
     })?;
-    let encoding = text_header(&response, header::CONTENT_ENCODING);
+    let encoding = header_text(&response, header::CONTENT_ENCODING);
     let is_gzip = encoding.is_some_and(|encoding| encoding.eq_ignore_ascii_case("gzip"));
     let mut writer = HandlerWriter { handler, error: None };
     let copied = if is_gzip {
@@ -106,21 +106,21 @@
     writer.finish(copied)
 }
 
-/// The delay of a `Retry-After` header in seconds; dates are ignored.
+/// The delay of a `Retry-After` header that is given in seconds; HTTP dates and negative numbers are ignored.
 fn retry_after(response: &Response<Incoming>) -> Option<TimeDelta> {
-    let seconds: i64 = text_header(response, header::RETRY_AFTER)?.trim().parse().ok()?;
+    let seconds: i64 = header_text(response, header::RETRY_AFTER)?.trim().parse().ok()?;
     (seconds >= 0).then(|| TimeDelta::from_millis(seconds.saturating_mul(1_000)))
 }
 
-fn text_header(response: &Response<Incoming>, name: HeaderName) -> Option<&str> {
+fn header_text(response: &Response<Incoming>, name: HeaderName) -> Option<&str> {
     response.headers().get(name)?.to_str().ok()
 }
 
-/// Why a body could not be copied to its end.
+/// Why a body was not copied to its end.
 enum CopyError {
-    /// The connection failed.
+    /// Receiving a frame failed.
     Receive(hyper::Error),
-    /// Decompressing or handling the bytes failed.
+    /// Decompressing the data failed, or the handler rejected it.
     Write(io::Error),
 }
 
@@ -133,7 +133,7 @@
     Ok(())
 }
 
-/// Hands what is written to it to a handler, and keeps the handler's error.
+/// Passes written bytes to a handler, and keeps its error, as [`Write`] can only return an [`io::Error`].
 struct HandlerWriter<'h> {
     handler: &'h mut dyn BodyHandler,
     error: Option<BodyError>,
--- a/crates/service-registry/src/client/server.rs
+++ b/crates/service-registry/src/client/server.rs
@@ -1,4 +1,4 @@
-//! The address of a registry's server.
+//! The URL and the address of a server of a registry.
 
 use super::error::{SetupError, UrlError};
 use hyper::Uri;
@@ -7,7 +7,7 @@
 const HTTP_PORT: u16 = 80;
 const HTTPS_PORT: u16 = 443;
 
-/// A server of a registry.
+/// A server of a registry, with its URL already validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryServer {
     is_tls: bool,
@@ -18,17 +18,18 @@
 }
 
 impl RegistryServer {
-    /// A server from a URL such as `http://127.0.0.1:8761/eureka`. Host names are not looked up: `address` is where a
-    /// host that is a name listens, and the name serves to check its certificate.
+    /// Creates a server from a URL such as `http://127.0.0.1:8761/eureka`. Host names are not looked up:
+    /// `address` is required if the host is a name, which then serves to verify the certificate. `address`
+    /// takes precedence over an IP address in the URL.
     ///
     /// # Errors
     ///
-    /// When the URL can't be called.
+    /// When the URL can't be used.
     pub fn new(url: &str, address: Option<SocketAddr>) -> Result<Self, SetupError> {
         Self::parse(url, address).map_err(|error| {
-            // What stands before '@' may be secret.
-            let shown = url.rsplit_once('@').map_or(url, |(_, rest)| rest);
-            SetupError::Url { url: shown.to_owned(), error }
+            // The part before '@' may contain a password.
+            let redacted_url = url.rsplit_once('@').map_or(url, |(_, rest)| rest);
+            SetupError::Url { url: redacted_url.to_owned(), error }
         })
     }
 
@@ -45,8 +46,8 @@
         }
         let host = authority.host().trim_start_matches('[').trim_end_matches(']').to_owned();
         let port = authority.port_u16().unwrap_or(if is_tls { HTTPS_PORT } else { HTTP_PORT });
-        let host_address = || host.parse().ok().map(|ip| SocketAddr::new(ip, port));
-        let address = address.or_else(host_address).ok_or(UrlError::HostIsName)?;
+        let address_from_host = || host.parse().ok().map(|ip| SocketAddr::new(ip, port));
+        let address = address.or_else(address_from_host).ok_or(UrlError::HostIsName)?;
         if uri.query().is_some() {
             return Err(UrlError::ContainsQuery);
         }
@@ -54,29 +55,29 @@
         Ok(Self { is_tls, host, address, authority: authority.to_string(), path })
     }
 
-    /// Whether it is called over TLS.
+    /// Whether the scheme of the URL is `https`.
     #[must_use]
     pub fn is_tls(&self) -> bool {
         self.is_tls
     }
 
-    /// The host and port of its URL, as it is named in the log.
+    /// The host and port of the URL, which name the server in the log and in the `Host` header.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.authority
     }
 
-    /// The host of its URL, to which its certificate must belong.
+    /// The host of the URL, for which the certificate of the server must be valid.
     pub(super) fn host(&self) -> &str {
         &self.host
     }
 
-    /// Where it listens.
+    /// The address to connect to.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The path of its URL, without a trailing slash.
+    /// The path of the URL, without a trailing slash.
     pub(super) fn path(&self) -> &str {
         &self.path
     }
--- a/crates/service-registry/src/config.rs
+++ b/crates/service-registry/src/config.rs
@@ -1,4 +1,4 @@
-//! What is watched, and how.
+//! Configuration of a registry, its polling, and the pooler's own registration.
 
 use crate::client::{Client, Credentials, RegistryServer, SetupError};
 use crate::eureka::mapping::InstanceMapping;
@@ -8,52 +8,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A registry, and how it is watched.
+/// Configuration of a registry and of its polling.
 #[derive(Clone, Debug)]
 pub struct RegistryConfig {
-    /// Its servers, the preferred one first.
+    /// The servers of the registry, the preferred one first.
     pub servers: Vec<RegistryServer>,
-    /// How the client authenticates itself and the servers.
+    /// Credentials of the client, and the certificate authorities that it trusts.
     pub credentials: Credentials,
-    /// How long a call may take.
+    /// Limit for a whole call: connecting, the request, and the response with its body.
     pub call_timeout: Duration,
-    /// How it is polled.
+    /// Interval, backoff, and use of deltas.
     pub polling: PollSettings,
-    /// A larger body is not read.
+    /// Limit for a response body, in bytes; a larger body fails the poll.
     pub max_body_bytes: u64,
-    /// How instances become endpoints.
+    /// Rules that map registry instances to endpoints.
     pub mapping: InstanceMapping,
-    /// When a snapshot is suspected.
+    /// When a snapshot is suspected of missing endpoints that still exist.
     pub self_preservation: SelfPreservation,
-    /// The path of snapshots, such as `/apps`.
+    /// The API path of snapshots below the server's URL, such as `/apps`.
     pub snapshot_path: String,
-    /// How this pooler registers itself, if it does.
+    /// The pooler's own registration; `None` if the pooler does not register itself.
     pub self_registration: Option<SelfRegistration>,
 }
 
 impl RegistryConfig {
-    /// A client for the registry's servers.
+    /// Creates a client for the registry's servers; reads the files that the credentials name.
     ///
     /// # Errors
     ///
-    /// When a file that the credentials name can't be used.
+    /// When a file can't be used or TLS can't be set up.
     pub fn client(&self) -> Result<Client, SetupError> {
         let use_tls = self.servers.iter().any(RegistryServer::is_tls);
         Client::new(&self.credentials, use_tls, self.call_timeout)
     }
 }
 
-/// How a pooler registers itself.
+/// The registration of the pooler itself.
 #[derive(Clone, Debug)]
 pub struct SelfRegistration {
-    /// The application under which poolers register.
+    /// The application name under which poolers register.
     pub app: String,
-    /// The id of this one.
+    /// The instance id of this pooler.
     pub id: String,
-    /// Where it listens.
+    /// The address at which the pooler accepts clients.
     pub address: SocketAddr,
-    /// How often the lease is renewed.
+    /// The interval between lease renewals.
     pub renewal_interval: TimeDelta,
-    /// The duration of the lease: after so long without a renewal the registry may evict the registration.
+    /// The lease duration: the registry may evict the registration after this time without a renewal.
     pub lease_duration: TimeDelta,
 }
--- a/crates/service-registry/src/counters.rs
+++ b/crates/service-registry/src/counters.rs
@@ -1,50 +1,50 @@
-//! Counters of a watched registry.
+//! Counters of registry polls and of the pooler's own lease requests.
 
 use crate::eureka::decoder::BodySummary;
 use pooler_routing::membership::MergeResult;
 use std::cell::Cell;
 use std::fmt;
 
-/// What was seen of a registry since the start.
+/// Totals since the start of the process. [`fmt::Display`] writes the `registry` line of the status report.
 #[derive(Debug, Default)]
 pub struct RegistryCounters {
-    /// Snapshots that were applied.
+    /// Snapshots that were decoded and passed to the membership, suspected ones included.
     pub snapshots: Cell<u64>,
-    /// Deltas that were applied.
+    /// Deltas that were decoded and passed to the membership.
     pub deltas: Cell<u64>,
-    /// Polls that failed.
+    /// Polls without a usable response.
     pub poll_failures: Cell<u64>,
-    /// Responses whose hash code did not match what is held.
+    /// Responses whose hash code differs from the one computed from the instances held.
     pub hash_mismatches: Cell<u64>,
-    /// Snapshots that were suspected of a loss.
+    /// Snapshots that self-preservation suspected.
     pub suspected_snapshots: Cell<u64>,
-    /// Claims that were older than what is held.
+    /// Claims that were ignored because the record held is newer.
     pub stale_claims: Cell<u64>,
-    /// Of these, claims that would have brought back an endpoint that drains or was removed.
+    /// Stale claims that would have reactivated a draining or removed endpoint.
     pub rejected_revivals: Cell<u64>,
-    /// Claims of two endpoints under one id.
+    /// Claims under one endpoint id with different addresses.
     pub address_conflicts: Cell<u64>,
-    /// Instances that could not be decoded.
+    /// Instances that can't be decoded; each response that contains them counts them again.
     pub unreadable_instances: Cell<u64>,
-    /// Instances of the mapped applications that could not be endpoints.
+    /// Instances of the mapped applications that can't be endpoints; each response counts them again.
     pub rejected_instances: Cell<u64>,
-    /// Of these, those outside of the networks.
+    /// Rejected instances whose address is outside of the allowed networks.
     pub outside_networks: Cell<u64>,
-    /// Requests of the pooler's own lease that the registry accepted.
+    /// Requests for the pooler's own lease that the registry accepted.
     pub lease_requests_accepted: Cell<u64>,
-    /// Those that it did not.
+    /// Requests for the pooler's own lease that failed, were abandoned or were answered with status 404.
     pub lease_requests_failed: Cell<u64>,
 }
 
 impl RegistryCounters {
-    /// Counts the instances that a body held and could not be used.
+    /// Adds the unusable instances of a response body.
     pub(crate) fn add_summary(&self, summary: &BodySummary) {
         add(&self.unreadable_instances, summary.unreadable);
         add(&self.rejected_instances, summary.rejected);
         add(&self.outside_networks, summary.outside_networks);
     }
 
-    /// Counts what the membership made of a watch event.
+    /// Adds the ignored claims and the suspected loss of a merge.
     pub(crate) fn add_merge(&self, result: &MergeResult) {
         add(&self.suspected_snapshots, usize::from(result.suspected_loss.is_some()));
         add(&self.stale_claims, result.stale_claims);
@@ -53,7 +53,6 @@
     }
 }
 
-/// Adds one.
 pub(crate) fn increment(counter: &Cell<u64>) {
     add(counter, 1);
 }
@@ -64,7 +63,7 @@
 
 impl fmt::Display for RegistryCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = [
+        let counters = [
             ("snapshots", &self.snapshots),
             ("deltas", &self.deltas),
             ("poll_failures", &self.poll_failures),
@@ -80,6 +79,6 @@
             ("lease_requests_failed", &self.lease_requests_failed),
         ];
         write!(f, "registry")?;
-        named.iter().try_for_each(|(name, counter)| write!(f, " {name}={}", counter.get()))
+        counters.iter().try_for_each(|(name, counter)| write!(f, " {name}={}", counter.get()))
     }
 }
--- a/crates/service-registry/src/lib.rs
+++ b/crates/service-registry/src/lib.rs
@@ -1,7 +1,7 @@
-//! Endpoints from a service registry that speaks Eureka's REST API.
+//! Endpoint discovery through a service registry that implements Eureka's REST API.
 //!
-//! [`eureka`] is the protocol without I/O, [`client`] speaks it over HTTP. [`RegistryWatcher`] polls a registry and
-//! applies what it reports to an [`EventSink`]; [`Registrar`] keeps the pooler's own registration.
+//! [`eureka`] implements the protocol without I/O, [`client`] is the HTTP client. [`RegistryWatcher`] polls a
+//! registry and passes its reports to an [`EventSink`]; [`Registrar`] maintains the pooler's registration.
 
 pub mod client;
 mod config;
--- a/crates/service-registry/src/registrar.rs
+++ b/crates/service-registry/src/registrar.rs
@@ -1,4 +1,4 @@
-//! Keeps the pooler's own registration until the pooler has ended and the registry knows of it.
+//! Registers the pooler with the registry, renews its lease, and cancels the registration at the end.
 
 use crate::client::{ApiRequest, CallError, Client, DiscardBody, RegistryServer, SetupError};
 use crate::config::{RegistryConfig, SelfRegistration};
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Registers the pooler and renews its lease. It has a connection of its own: a snapshot that takes long must not hold
-/// up the announcement of a drain.
+/// Maintains the pooler's registration. The registrar has its own connection, since a slow snapshot on a
+/// shared one would delay the announcement of a drain.
 pub struct Registrar<S> {
     servers: Vec<RegistryServer>,
     client: Client,
@@ -27,11 +27,12 @@
 }
 
 impl<S: EventSink> Registrar<S> {
-    /// A registrar for what the configuration says of this pooler; `None` where it says nothing.
+    /// Creates a registrar and reads the password, certificate and key files; `None` if the configuration has
+    /// no self-registration.
     ///
     /// # Errors
     ///
-    /// When a file can't be used.
+    /// When a file can't be used or TLS can't be set up.
     pub fn new(
         config: &RegistryConfig,
         sink: S,
@@ -42,10 +43,10 @@
         Ok(Some(Self { servers: config.servers.clone(), client, registration, sink, counters }))
     }
 
-    /// Keeps the registration until the pooler has ended and the registry has taken it back.
+    /// Maintains the registration. Returns once the status is `None` and no registration is left to cancel.
     pub async fn run(mut self, state: Rc<RegistrationState>) {
         let mut lease = RegistrationLease::new(self.registration.renewal_interval, self.sink.now());
-        let mut server = 0;
+        let mut server_index = 0;
         loop {
             let status_changed = state.status_changed.listen();
             lease.set_status(self.sink.now(), state.status());
@@ -53,24 +54,30 @@
                 (None, None) => return state.set_deregistered(),
                 (None, Some(due)) => or(sleep_until(self.sink.now(), due), status_changed).await,
                 (Some(request), _) => {
-                    let sent = self.send(server, request, lease.last_dirty_ms());
-                    // A status that changes while a server does not respond is announced at once, to another server.
+                    let sent = self.send_request(server_index, request, lease.last_dirty_ms());
+                    // A status change abandons the pending request and is announced to the next server at
+                    // once: a server that does not respond must not delay the announcement.
                     let interrupted = async {
                         status_changed.await;
                         LeaseResponse::Failed
                     };
                     let response = or(sent, interrupted).await;
                     lease.record_response(self.sink.now(), request, response);
-                    self.count(response);
+                    self.count_response(response);
                     if response == LeaseResponse::Failed {
-                        server = (server + 1) % self.servers.len();
+                        server_index = (server_index + 1) % self.servers.len();
                     }
                 }
             }
         }
     }
 
-    async fn send(&mut self, server: usize, request: LeaseRequest, last_dirty_ms: i64) -> LeaseResponse {
+    async fn send_request(
+        &mut self,
+        server_index: usize,
+        request: LeaseRequest,
+        last_dirty_ms: i64,
+    ) -> LeaseResponse {
         let SelfRegistration { app, id, .. } = &self.registration;
         let (method, path, json) = match request {
             LeaseRequest::Register(status) => {
@@ -85,14 +92,14 @@
             LeaseRequest::Cancel => (Method::DELETE, format!("/apps/{app}/{id}"), None),
         };
         let request = ApiRequest { method, path: &path, json };
-        match self.client.call(&self.servers[server], &request, &mut DiscardBody).await {
+        match self.client.call(&self.servers[server_index], &request, &mut DiscardBody).await {
             Ok(()) => LeaseResponse::Accepted,
             Err(CallError::Status { status: 404, .. }) => LeaseResponse::NotRegistered,
             Err(_) => LeaseResponse::Failed,
         }
     }
 
-    fn count(&self, response: LeaseResponse) {
+    fn count_response(&self, response: LeaseResponse) {
         increment(match response {
             LeaseResponse::Accepted => &self.counters.lease_requests_accepted,
             LeaseResponse::NotRegistered | LeaseResponse::Failed => &self.counters.lease_requests_failed,
@@ -100,7 +107,7 @@
     }
 }
 
-/// The instance as Eureka's schema has it.
+/// Encodes the pooler as an instance in Eureka's JSON schema. Lease times are whole seconds, at least 1.
 fn instance_json(registration: &SelfRegistration, status: InstanceStatus, last_dirty_ms: i64) -> Vec<u8> {
     let ip = registration.address.ip().to_string();
     let seconds = |delta: TimeDelta| (delta.0 / 1_000_000).max(1);
@@ -127,7 +134,7 @@
     instance.to_string().into_bytes()
 }
 
-/// The pooler's status, from the pooler to its [`Registrar`], and the end of the registration back.
+/// Passes the pooler's status to its [`Registrar`] and reports the end of the registration back.
 #[derive(Debug)]
 pub struct RegistrationState {
     status: Cell<Option<InstanceStatus>>,
@@ -137,7 +144,7 @@
 }
 
 impl RegistrationState {
-    /// The state of a pooler that is starting.
+    /// The initial state: [`InstanceStatus::Starting`], as the pooler is not ready to serve yet.
     #[must_use]
     pub fn starting() -> Self {
         Self {
@@ -148,19 +155,19 @@
         }
     }
 
-    /// The pooler's status; `None` once it has ended.
+    /// The status to announce; `None` if the registration is to be cancelled.
     #[must_use]
     pub fn status(&self) -> Option<InstanceStatus> {
         self.status.get()
     }
 
-    /// Sets the pooler's status; `None` once it has ended.
+    /// Sets the status to announce and wakes the registrar; `None` cancels the registration.
     pub fn set_status(&self, status: Option<InstanceStatus>) {
         self.status.set(status);
         self.status_changed.notify(usize::MAX);
     }
 
-    /// Waits until the registry has taken the registration back, but no longer than this.
+    /// Waits until the [`Registrar`] has no registration left to cancel, or until `timeout` expires.
     pub async fn wait_deregistered(&self, timeout: Duration) {
         let deregistered = async {
             while !self.is_deregistered.get() {
--- a/crates/service-registry/src/sink.rs
+++ b/crates/service-registry/src/sink.rs
@@ -1,15 +1,15 @@
-//! Where a registry's reports go.
+//! The interface through which the watcher and the registrar reach the pooler.
 
 use pooler_routing::Timestamp;
 use pooler_routing::membership::{MergeResult, WatchEvent};
 use std::fmt;
 
-/// Receives a registry's watch events, and provides a clock and a log.
+/// Receives the watch events of a registry, and provides the clock and the log of the pooler.
 pub trait EventSink {
-    /// The time, Unix in microseconds, never running backwards.
+    /// The current Unix time in microseconds; never decreases.
     fn now(&self) -> Timestamp;
-    /// Applies a watch event to the membership.
+    /// Merges a watch event into the membership and returns the effect.
     fn apply(&self, event: WatchEvent) -> MergeResult;
-    /// Logs a line for the operators.
+    /// Writes one line to the operators' log.
     fn log(&self, line: &dyn fmt::Display);
 }
--- a/crates/service-registry/src/watcher.rs
+++ b/crates/service-registry/src/watcher.rs
@@ -1,5 +1,5 @@
-//! Watches a registry for as long as the pooler runs: polls it, decodes the responses and applies them. It decides
-//! nothing about endpoints; when to poll is decided by [`crate::eureka::poll_schedule`].
+//! Polls a registry for as long as the pooler runs, and passes the decoded responses to an [`EventSink`]. The
+//! watcher makes no decisions about endpoints; [`crate::eureka::poll_schedule`] decides when to poll.
 
 use crate::client::{ApiRequest, BodyHandler, CallError, Client, SetupError, UnsupportedContentType};
 use crate::config::RegistryConfig;
@@ -14,10 +14,10 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The path of deltas.
+/// The API path that returns the recent changes of all applications.
 const DELTA_PATH: &str = "/apps/delta";
 
-/// Watches a registry.
+/// Polls the servers of one registry and passes the watch events to `S`.
 pub struct RegistryWatcher<S> {
     config: RegistryConfig,
     client: Client,
@@ -25,28 +25,34 @@
     digest: RegistryDigest,
     sink: S,
     counters: Rc<RegistryCounters>,
-    /// The state of the registry that was logged last.
+    /// The last logged state; a state is logged again only after a different one.
     logged_state: LoggedState,
-    /// Whether instances that could not be used were logged.
+    /// Whether unusable instances have been logged, which happens once in the watcher's lifetime.
     has_logged_problems: bool,
 }
 
-/// A state of the registry that is logged when it is entered.
+/// The states of a registry that are logged on entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LoggedState {
+    /// Nothing has been logged yet.
     None,
+    /// A consistent response was applied.
     Healthy,
+    /// At least as many polls in a row failed as the registry has servers.
     Unavailable,
+    /// Self-preservation suspected the last snapshot.
     SnapshotSuspected,
+    /// The hash code in a snapshot differs from the one computed from its instances.
     HashMismatch,
 }
 
 impl<S: EventSink> RegistryWatcher<S> {
-    /// A watcher whose first poll is due. All files that the configuration names are read now.
+    /// Creates a watcher whose first poll is due at once. Reads the password, certificate and key files now.
+    /// `seed` seeds the jitter of the poll schedule.
     ///
     /// # Errors
     ///
-    /// When a file can't be used.
+    /// When a file can't be used or TLS can't be set up.
     pub fn new(
         config: RegistryConfig,
         seed: u64,
@@ -67,20 +73,20 @@
         })
     }
 
-    /// Polls for ever.
+    /// Polls until the future is dropped.
     pub async fn run(mut self) {
         loop {
             sleep_until(self.sink.now(), self.schedule.next_poll_at()).await;
-            // A failure has been counted and logged; the schedule knows when to poll again.
+            // `poll` has recorded the failure and scheduled the retry.
             let _ = self.poll().await;
         }
     }
 
-    /// Polls once, for what is due, and returns what the response changed.
+    /// Fetches the snapshot or delta that is due and returns its effect on the membership.
     ///
     /// # Errors
     ///
-    /// When there is no response that can be used. The schedule then has a retry.
+    /// When the server returns no usable response. A retry is then scheduled.
     pub async fn poll(&mut self) -> Result<MergeResult, CallError> {
         let poll = self.schedule.next_poll(self.sink.now());
         match self.fetch(poll).await {
@@ -98,9 +104,9 @@
             FetchKind::Delta => DELTA_PATH,
         };
         let server = &self.config.servers[poll.server];
-        let mut response = PollResponse { config: &self.config, digest: &self.digest, poll, decoder: None };
-        self.client.call(server, &ApiRequest::get(path), &mut response).await?;
-        let decoder = response.decoder;
+        let mut handler = PollBodyHandler { config: &self.config, digest: &self.digest, poll, decoder: None };
+        self.client.call(server, &ApiRequest::get(path), &mut handler).await?;
+        let decoder = handler.decoder;
         let decoder = decoder.ok_or(CallError::UnsupportedContentType { content_type: String::new() })?;
         Ok(decoder.finish(&mut self.digest)?)
     }
@@ -140,7 +146,7 @@
         }
     }
 
-    /// Logs the instances that could not be used, once: they stand in each snapshot.
+    /// Logs unusable instances only once, since each snapshot contains them again.
     fn log_problems(&mut self, summary: &BodySummary) {
         if summary.problems.is_empty() || self.has_logged_problems {
             return;
@@ -161,16 +167,16 @@
         let name = self.server_name(poll);
         if let Some(SuspectedLoss { missing, active }) = suspected_loss {
             let line = format_args!(
-                "registry: {name}: a snapshot that lacks {missing} of {active} active endpoints is not believed; \
-                 carrying on with what is known"
+                "registry: {name}: snapshot that lacks {missing} of {active} active endpoints \
+                 is not believed; carrying on with what is known"
             );
             self.log_state(LoggedState::SnapshotSuspected, &line);
         } else if poll.fetch == FetchKind::Snapshot && !is_consistent {
             let reported = summary.hash_code.as_deref().unwrap_or_default();
             let computed = self.digest.hash_code();
             let line = format_args!(
-                "registry: {name}: a snapshot whose hash code '{reported}' does not agree with what it holds, \
-                 '{computed}'"
+                "registry: {name}: snapshot hash code '{reported}' does not agree with the hash code of its \
+                 instances, '{computed}'"
             );
             self.log_state(LoggedState::HashMismatch, &line);
         } else if is_consistent {
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Logs a line if the registry was in another state before.
+    /// Logs a line unless the last logged state is the same.
     fn log_state(&mut self, state: LoggedState, line: &dyn fmt::Display) {
         if self.logged_state != state {
             self.logged_state = state;
@@ -192,16 +198,16 @@
     }
 }
 
-/// The response to a poll, decoded while it arrives.
-struct PollResponse<'c, 'd> {
+/// Decodes the response to a poll while its body arrives.
+struct PollBodyHandler<'c, 'd> {
     config: &'c RegistryConfig,
     digest: &'d RegistryDigest,
     poll: Poll,
-    /// Made once the body's type is known.
+    /// `None` until the content type of the body is known.
     decoder: Option<BodyDecoder<'c>>,
 }
 
-impl BodyHandler for PollResponse<'_, '_> {
+impl BodyHandler for PollBodyHandler<'_, '_> {
     fn on_content_type(&mut self, content_type: &str) -> Result<(), UnsupportedContentType> {
         let format = BodyFormat::from_content_type(content_type).ok_or(UnsupportedContentType)?;
         let decoder = BodyDecoder::new(
--- a/crates/service-registry/tests/timing.rs
+++ b/crates/service-registry/tests/timing.rs
@@ -1,4 +1,4 @@
-//! The schedules of polls and of the pooler's own lease, on a clock that the tests control.
+//! The schedules of polls and of lease renewals, driven by timestamps that the tests supply.
 
 use pooler_routing::{TimeDelta, Timestamp};
 use pooler_service_registry::eureka::instance::InstanceStatus;
@@ -22,7 +22,7 @@
     PollSchedule::new(servers, settings, 7, START)
 }
 
-/// The delay until the next poll in ms.
+/// The delay from `since` until the next poll, in ms.
 fn delay_ms(schedule: &PollSchedule, since: Timestamp) -> i64 {
     (schedule.next_poll_at() - since).0 / 1_000
 }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_snapshot_comes_first_and_deltas_follow() {
+fn deltas_follow_the_first_snapshot_and_repeated_mismatches_delay_further_snapshots() {
     let mut schedule = new_schedule(1);
     assert_eq!(
         (schedule.next_poll_at(), schedule.next_poll(START)),
@@ -41,7 +41,7 @@
     schedule.record_success(START, FetchKind::Snapshot, true);
     assert!((900..=1_100).contains(&delay_ms(&schedule, START)));
     assert_eq!(schedule.next_poll(at(1_100)), Poll { server: 0, fetch: FetchKind::Delta });
-    // After an inconsistent delta a snapshot is due at once, the next time later and later.
+    // The first inconsistent delta makes a snapshot due at once, later ones after increasing delays.
     schedule.record_success(at(1_100), FetchKind::Delta, false);
     assert_eq!(
         (schedule.next_poll_at(), schedule.next_poll(at(1_100)).fetch),
@@ -79,11 +79,11 @@
         let backoff = if attempt % 3 == 2 { (500 << round).min(8_000) } else { 20 };
         assert!(
             (backoff * 3 / 4 - 1..=backoff * 5 / 4 + 1).contains(delay),
-            "attempt {attempt}: {delay} for {backoff}"
+            "attempt {attempt}: delay of {delay} ms for a backoff of {backoff} ms"
         );
     }
     schedule.record_success(now, FetchKind::Snapshot, true);
-    assert!(delay_ms(&schedule, now) <= 1_100, "the backoff ends with the first success");
+    assert!(delay_ms(&schedule, now) <= 1_100, "the first success resets the backoff");
 }
 
 #[test]
@@ -96,20 +96,24 @@
     );
     assert_eq!(schedule.next_poll(at(20)).server, 1);
     schedule.record_failure(at(20), FetchKind::Snapshot, PollFailure::Unusable);
-    assert_eq!(schedule.next_poll(at(2_000)).server, 1, "the first server must not be polled yet");
+    assert_eq!(
+        schedule.next_poll(at(2_000)).server,
+        1,
+        "the first server is not polled before its Retry-After has passed"
+    );
     let mut single = new_schedule(1);
     single.record_failure(
         START,
         FetchKind::Snapshot,
         status_failure(503, Some(TimeDelta::from_millis(86_400_000))),
     );
-    assert_eq!(delay_ms(&single, START), 300_000, "five minutes at most");
+    assert_eq!(delay_ms(&single, START), 300_000, "a Retry-After of a day is limited to five minutes");
     single.record_failure(START, FetchKind::Snapshot, status_failure(503, Some(TimeDelta(-5))));
-    assert!(delay_ms(&single, START) <= 1_300, "a negative delay counts as none");
+    assert!(delay_ms(&single, START) <= 1_300, "a negative Retry-After counts as zero");
 }
 
 #[test]
-fn a_server_without_deltas_is_polled_for_snapshots_and_is_no_failure() {
+fn a_server_without_deltas_is_polled_for_snapshots_and_does_not_count_as_failed() {
     let mut schedule = new_schedule(2);
     schedule.record_success(START, FetchKind::Snapshot, true);
     schedule.record_failure(at(1_000), FetchKind::Delta, status_failure(404, None));
@@ -129,18 +133,18 @@
     lease.record_response(START, LeaseRequest::Register(InstanceStatus::Starting), LeaseResponse::Accepted);
     lease.set_status(at(100), Some(InstanceStatus::Up));
     assert_eq!(lease.due_request(at(100)), Some(LeaseRequest::Register(InstanceStatus::Up)));
-    assert!(lease.last_dirty_ms() > first, "a change has a later stamp");
+    assert!(lease.last_dirty_ms() > first, "a status change advances lastDirtyTimestamp");
     lease.record_response(at(100), LeaseRequest::Register(InstanceStatus::Up), LeaseResponse::Accepted);
     assert_eq!(
         (lease.due_request(at(30_099)), lease.due_request(at(30_100))),
         (None, Some(LeaseRequest::Renew(InstanceStatus::Up)))
     );
-    // The registry has lost it: it registers anew, with a later stamp.
+    // A registry that has lost the registration gets a new one with a later `lastDirtyTimestamp`.
     let before = lease.last_dirty_ms();
     lease.record_response(at(30_100), LeaseRequest::Renew(InstanceStatus::Up), LeaseResponse::NotRegistered);
     assert_eq!(lease.due_request(at(30_100)), Some(LeaseRequest::Register(InstanceStatus::Up)));
     assert!(lease.last_dirty_ms() > before);
-    // While requests fail, retries back off, but a drain is announced at once.
+    // Retries of failed requests back off, but a drain is announced at once.
     let mut now = at(30_100);
     for delay in [1_000, 2_000, 4_000, 8_000, 16_000, 30_000, 30_000] {
         lease.record_response(now, LeaseRequest::Register(InstanceStatus::Up), LeaseResponse::Failed);
@@ -161,7 +165,7 @@
     let mut lease = RegistrationLease::new(TimeDelta::from_millis(30_000), START);
     lease.set_status(START, None);
     assert_eq!((lease.due_request(START), lease.next_request_at()), (None, None));
-    // Stamps advance even if the clock does not.
+    // `lastDirtyTimestamp` advances with each change even if the clock does not.
     let mut lease = RegistrationLease::new(TimeDelta::from_millis(30_000), START);
     let before = lease.last_dirty_ms();
     lease.set_status(START, Some(InstanceStatus::Up));
