--- a/crates/service-registry/src/eureka/body/error.rs
+++ b/crates/service-registry/src/eureka/body/error.rs
@@ -1,103 +1,103 @@
-//! Why a body can't be read.
+//! Errors of reading a response body.
 
 use super::super::instance::InstanceError;
 
-/// Why a body can't be read.
+/// Why a response body can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// It is malformed.
-    #[error("byte {offset}: {error}")]
+    /// The body is malformed.
+    #[error("syntax error at byte {offset}: {error}")]
     Syntax {
-        /// How many bytes of the body came before.
+        /// The number of bytes of the body before the error.
         offset: u64,
-        /// What is wrong there.
+        /// The kind of syntax error.
         error: SyntaxError,
     },
-    /// It ends too early.
-    #[error("it ends after {scanned_bytes} bytes, in the middle")]
+    /// The body ends before its document is complete.
+    #[error("document is truncated after {scanned_bytes} bytes")]
     Truncated {
-        /// How many bytes there were.
+        /// The number of bytes received.
         scanned_bytes: u64,
     },
-    /// It is larger than the configured limit.
-    #[error("it is larger than {max_bytes} bytes")]
+    /// The body exceeds the configured size limit.
+    #[error("document exceeds the limit of {max_bytes} bytes")]
     TooLarge {
-        /// The limit.
+        /// The size limit.
         max_bytes: u64,
     },
-    /// It holds more instances than are read.
-    #[error("more than {max_instances} instances")]
+    /// The body contains too many instances.
+    #[error("document contains more than {max_instances} instances")]
     TooManyInstances {
-        /// The limit.
+        /// The limit on the number of instances.
         max_instances: usize,
     },
-    /// An instance in it is malformed.
+    /// An instance in the body is malformed.
     #[error(transparent)]
     Instance(#[from] InstanceError),
 }
 
-/// What is malformed in a body.
+/// The kinds of syntax errors in a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxError {
-    /// A byte that can't stand there in JSON.
-    #[error("no JSON")]
-    NotJson,
-    /// Text before the first tag.
-    #[error("no XML")]
-    NotXml,
-    /// Something follows the end.
-    #[error("something behind the end")]
+    /// A byte that JSON does not allow at its position.
+    #[error("not valid JSON")]
+    InvalidJson,
+    /// Text before the first tag, where XML allows none.
+    #[error("not valid XML: text before the root element")]
+    TextBeforeRoot,
+    /// Data after the outermost JSON value or the XML root element.
+    #[error("data after the end of the document")]
     TrailingData,
-    /// Nested deeper than is read.
-    #[error("nested too deeply")]
+    /// Objects, arrays or elements are nested deeper than the limit.
+    #[error("nesting exceeds the depth limit")]
     NestedTooDeeply,
-    /// An instance longer than is read.
-    #[error("an instance that is too long")]
+    /// An instance is longer than the limit.
+    #[error("instance exceeds the size limit")]
     InstanceTooLong,
-    /// A number or a literal longer than is read.
-    #[error("a number or a word that is too long")]
+    /// A JSON number, `true`, `false` or `null` is longer than the limit.
+    #[error("number or literal exceeds the length limit")]
     LiteralTooLong,
-    /// A key longer than is read.
-    #[error("a key that is too long")]
+    /// A key of a JSON object is longer than the limit.
+    #[error("object key exceeds the length limit")]
     KeyTooLong,
-    /// A tag longer than is read.
-    #[error("a tag that is too long")]
+    /// An XML tag with its attributes is longer than the limit.
+    #[error("tag exceeds the length limit")]
     TagTooLong,
-    /// A control character in a string.
-    #[error("a control character in text")]
+    /// A control character stands in a JSON string without an escape.
+    #[error("control character in a string")]
     ControlCharacter,
-    /// A hash code that is not UTF-8.
-    #[error("a hash code that is no text")]
-    HashCodeNotText,
-    /// A closing bracket without its opening one.
-    #[error("a bracket that closes nothing")]
+    /// The bytes of the hash code are not UTF-8.
+    #[error("hash code is not valid UTF-8")]
+    HashCodeNotUtf8,
+    /// A closing bracket or brace does not match the innermost open one.
+    #[error("closing bracket without a matching opening bracket")]
     UnmatchedBracket,
-    /// `<` within a tag.
-    #[error("a tag in a tag")]
+    /// A tag contains `<` outside of quotation marks.
+    #[error("'<' inside a tag")]
     NestedTag,
-    /// A tag without a name.
-    #[error("a tag without a name")]
+    /// A start tag has no element name.
+    #[error("tag without an element name")]
     UnnamedTag,
-    /// An end tag without its start tag.
-    #[error("a tag that closes nothing")]
+    /// An end tag while no element is open.
+    #[error("end tag without a start tag")]
     UnmatchedEndTag,
-    /// An end tag of another element than the innermost one.
-    #[error("a tag that closes another")]
+    /// An end tag that names another element than the innermost open one.
+    #[error("end tag does not match the innermost open element")]
     MismatchedEndTag,
-    /// A document type declaration or an entity.
-    #[error("a document type, which is not read")]
-    DocumentType,
-    /// Any other declaration.
-    #[error("a declaration, which is not read")]
-    Declaration,
+    /// A document type, element or entity declaration, none of which is supported.
+    #[error("document type and entity declarations are not supported")]
+    UnsupportedDocumentType,
+    /// Any other declaration that begins with `<!`.
+    #[error("declaration is not supported")]
+    UnsupportedDeclaration,
 }
 
-/// Why a scan ended early.
+/// Why a scan was aborted.
 #[derive(Debug)]
 pub(super) enum ScanError {
     /// The body is malformed.
     Syntax(SyntaxError),
-    /// The handler of items failed.
+    /// The handler that receives the body's items failed.
     Handler(BodyError),
 }
 
@@ -114,13 +114,13 @@
 }
 
 impl ScanError {
-    /// The error at this offset in the bytes that were pushed.
+    /// Adds the offset of the error in the bytes of the current `push`.
     pub(super) fn at(self, offset: usize) -> LocatedError {
         LocatedError { offset, error: self }
     }
 }
 
-/// An error with its offset in the bytes that were pushed.
+/// An error with its offset in the bytes of the current `push`.
 #[derive(Debug)]
 pub(super) struct LocatedError {
     offset: usize,
@@ -128,7 +128,8 @@
 }
 
 impl LocatedError {
-    /// The error of a body whose bytes before those that were pushed are `preceding_bytes`.
+    /// Converts the error to a [`BodyError`]. `preceding_bytes` is the number of the body's bytes before the
+    /// current `push`.
     pub(super) fn into_body_error(self, preceding_bytes: u64) -> BodyError {
         match self.error {
             ScanError::Syntax(error) => {
--- a/crates/service-registry/src/eureka/body/json.rs
+++ b/crates/service-registry/src/eureka/body/json.rs
@@ -1,4 +1,4 @@
-//! A JSON scanner that reads just enough to find the objects under the key `instance`. What stands in them is not
+//! A JSON scanner that reads just enough to find the objects under the key `instance`. Their contents are not
 //! parsed here.
 
 use super::{
@@ -6,7 +6,7 @@
     ScanError, SyntaxError,
 };
 
-/// What the scanner is in, or what must come next.
+/// The token that the scanner is in, or that must come next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     #[default]
@@ -20,16 +20,16 @@
         is_key: bool,
         escaped: bool,
     },
-    /// In a number, `true`, `false` or `null`.
+    /// Inside a number, `true`, `false` or `null`.
     InLiteral,
     Complete,
 }
 
-/// An object or array that is open.
+/// An open object or array.
 #[derive(Debug)]
 struct Container {
     kind: ContainerKind,
-    /// Whether it stands under the key `instance`.
+    /// Whether the container stands under the key `instance`, so that the objects in it are instances.
     holds_instances: bool,
 }
 
@@ -39,15 +39,17 @@
     Array,
 }
 
-/// The scanner's state between two bytes.
+/// A scanner that keeps its state between two bytes of a body.
 #[derive(Debug, Default)]
 pub(super) struct JsonScanner {
     state: State,
+    /// The open containers, outermost first.
     containers: Vec<Container>,
-    /// The plain value that is being read or was read last.
+    /// The scalar value that is being read or was read last; of a string, at most [`MAX_TOKEN_BYTES`].
     value: Vec<u8>,
-    /// The key that is being read or was read last.
+    /// The object key that is being read or was read last.
     key: Vec<u8>,
+    /// The instance that is being read, if any.
     capture: Option<InstanceCapture>,
 }
 
@@ -69,7 +71,7 @@
         self.state == State::Complete
     }
 
-    /// Scans on in an instance; returns the offset behind the bytes that belong to it.
+    /// Scans the bytes of the current instance from `start`; returns the offset after the last one scanned.
     fn scan_instance(
         &mut self,
         bytes: &[u8],
@@ -91,22 +93,28 @@
 
     fn scan_byte(&mut self, byte: u8, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
         match self.state {
-            State::InString { is_key, escaped } => return self.string_byte(byte, is_key, escaped, handler),
-            State::InLiteral if is_literal_byte(byte) => return self.literal_byte(byte),
-            State::InLiteral => self.end_plain_value(handler)?,
+            State::InString { is_key, escaped } => {
+                return self.scan_string_byte(byte, is_key, escaped, handler);
+            }
+            State::InLiteral if is_literal_byte(byte) => return self.scan_literal_byte(byte),
+            State::InLiteral => self.end_scalar(handler)?,
             _ => {}
         }
         if !matches!(byte, b' ' | b'\t' | b'\r' | b'\n') {
-            self.structural_byte(byte)?;
+            self.scan_structural_byte(byte)?;
         }
         Ok(())
     }
 
-    /// A byte outside of strings and literals.
-    fn structural_byte(&mut self, byte: u8) -> Result<(), ScanError> {
+    /// Scans a byte outside of strings and literals.
+    fn scan_structural_byte(&mut self, byte: u8) -> Result<(), ScanError> {
         match (self.state, byte) {
-            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'{') => self.open(ContainerKind::Object),
-            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'[') => self.open(ContainerKind::Array),
+            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'{') => {
+                self.open_container(ContainerKind::Object)
+            }
+            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'[') => {
+                self.open_container(ContainerKind::Array)
+            }
             (State::ExpectValue | State::ExpectValueOrArrayEnd, b'"') => {
                 self.value.clear();
                 self.state = State::InString { is_key: false, escaped: false };
@@ -115,7 +123,7 @@
             (State::ExpectValue | State::ExpectValueOrArrayEnd, b'-' | b'0'..=b'9' | b't' | b'f' | b'n') => {
                 self.value.clear();
                 self.state = State::InLiteral;
-                self.literal_byte(byte)
+                self.scan_literal_byte(byte)
             }
             (State::ExpectKeyOrObjectEnd | State::ExpectKey, b'"') => {
                 self.key.clear();
@@ -134,17 +142,17 @@
                 Ok(())
             }
             (State::ExpectValueOrArrayEnd | State::ExpectCommaOrEnd, b']') => {
-                self.close(ContainerKind::Array)
+                self.close_container(ContainerKind::Array)
             }
             (State::ExpectKeyOrObjectEnd | State::ExpectCommaOrEnd, b'}') => {
-                self.close(ContainerKind::Object)
+                self.close_container(ContainerKind::Object)
             }
             (State::Complete, _) => Err(SyntaxError::TrailingData.into()),
-            _ => Err(SyntaxError::NotJson.into()),
+            _ => Err(SyntaxError::InvalidJson.into()),
         }
     }
 
-    fn literal_byte(&mut self, byte: u8) -> Result<(), ScanError> {
+    fn scan_literal_byte(&mut self, byte: u8) -> Result<(), ScanError> {
         if self.value.len() >= MAX_TOKEN_BYTES {
             return Err(SyntaxError::LiteralTooLong.into());
         }
@@ -152,7 +160,7 @@
         Ok(())
     }
 
-    fn string_byte(
+    fn scan_string_byte(
         &mut self,
         byte: u8,
         is_key: bool,
@@ -164,7 +172,7 @@
                 self.state = State::ExpectColon;
                 return Ok(());
             }
-            return self.end_plain_value(handler);
+            return self.end_scalar(handler);
         }
         if byte < 0x20 {
             return Err(SyntaxError::ControlCharacter.into());
@@ -179,21 +187,21 @@
         Ok(())
     }
 
-    /// A plain value is complete.
-    fn end_plain_value(&mut self, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
+    /// Ends a scalar value, and passes it to `handler` if it is the hash code.
+    fn end_scalar(&mut self, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
         self.state = self.state_after_value();
         let in_object =
             self.containers.last().is_some_and(|container| container.kind == ContainerKind::Object);
         if in_object && self.key == HASH_CODE {
-            let hash_code = std::str::from_utf8(&self.value).map_err(|_| SyntaxError::HashCodeNotText)?;
+            let hash_code = std::str::from_utf8(&self.value).map_err(|_| SyntaxError::HashCodeNotUtf8)?;
             handler(BodyItem::HashCode(hash_code))?;
         }
         Ok(())
     }
 
-    fn open(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
+    fn open_container(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
         let holds_instances = match self.containers.last() {
-            // What an array holds stands under the array's key.
+            // The elements of an array stand under the array's key.
             Some(container) if container.kind == ContainerKind::Array => container.holds_instances,
             Some(_) => self.key == INSTANCE,
             None => false,
@@ -213,7 +221,7 @@
         Ok(())
     }
 
-    fn close(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
+    fn close_container(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
         match self.containers.pop() {
             Some(container) if container.kind == kind => {
                 self.state = self.state_after_value();
@@ -232,10 +240,12 @@
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'+' | b'.')
 }
 
-/// An instance that is being read, from behind its opening brace.
+/// The instance that is being read. Scanning begins after the instance's opening brace.
 #[derive(Debug)]
 struct InstanceCapture {
+    /// The bytes of the instance so far, including the opening brace.
     bytes: Vec<u8>,
+    /// The number of open braces and brackets, including the instance's own brace.
     depth: usize,
     in_string: bool,
     escaped: bool,
@@ -246,11 +256,11 @@
         Self { bytes: b"{".to_vec(), depth: 1, in_string: false, escaped: false }
     }
 
-    /// The offset behind the instance's closing brace, if that is among these bytes.
+    /// Finds the offset after the instance's closing brace; `None` if the brace is not among `bytes`.
     fn find_end(&mut self, bytes: &[u8], start: usize) -> Result<Option<usize>, LocatedError> {
         for (offset, byte) in bytes.iter().enumerate().skip(start) {
             if self.in_string {
-                self.string_byte(*byte);
+                self.scan_string_byte(*byte);
                 continue;
             }
             match byte {
@@ -271,7 +281,7 @@
         Ok(None)
     }
 
-    fn string_byte(&mut self, byte: u8) {
+    fn scan_string_byte(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
--- a/crates/service-registry/src/eureka/body/mod.rs
+++ b/crates/service-registry/src/eureka/body/mod.rs
@@ -1,5 +1,5 @@
-//! Finds the instances in a response body while its bytes arrive. A registry of 20,000 instances writes some 25 MB, of
-//! which no more than one instance is held at a time. No I/O.
+//! Finds the instances in a response body while its bytes arrive. A registry of 20,000 instances sends about
+//! 25 MB, of which only one instance is held in memory at a time. Performs no I/O.
 
 mod error;
 mod json;
@@ -11,40 +11,41 @@
 use json::JsonScanner;
 use xml::XmlScanner;
 
-/// Nesting that no registry writes.
+/// The maximum nesting depth of a body, which no registry reaches.
 const MAX_DEPTH: usize = 48;
-/// Keys, tag names and the few plain values that are read are no longer than this.
+/// The maximum length of a JSON key, number or literal. Of other JSON strings and of XML text, only this many
+/// bytes are kept: the hash code, the only such value that is read, is shorter.
 const MAX_TOKEN_BYTES: usize = 256;
-/// A larger instance is not read.
+/// The maximum size of one instance in a body.
 const MAX_INSTANCE_BYTES: usize = 256 * 1024;
-/// The name under which instances stand.
+/// The JSON key, or the XML element name, of instances.
 const INSTANCE: &[u8] = b"instance";
-/// The name under which the registry's hash code stands.
+/// The JSON key, or the XML element name, of the registry's hash code.
 const HASH_CODE: &[u8] = b"apps__hashcode";
 
-/// Something found in a body.
+/// An item that the scanner has found in a body.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BodyItem<'a> {
-    /// An instance, as it is written.
+    /// The bytes of an instance: a JSON object or an XML element.
     Instance(&'a [u8]),
-    /// The registry's own hash code of all that it holds (`apps__hashcode`).
+    /// The registry's own hash code of all instances that it holds (`apps__hashcode`).
     HashCode(&'a str),
 }
 
-/// Receives the items of a body in their order. An error of it ends the scan.
+/// Receives the items of a body in order. An error that the handler returns ends the scan.
 pub type ItemHandler<'h> = dyn FnMut(BodyItem<'_>) -> Result<(), BodyError> + 'h;
 
-/// The format of a body.
+/// The format of a response body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFormat {
-    /// JSON.
+    /// The format of `application/json`.
     Json,
-    /// XML.
+    /// The format of `application/xml` and `text/xml`.
     Xml,
 }
 
 impl BodyFormat {
-    /// The format that a `Content-Type` header names; `None` for one that is not read.
+    /// The format of a body with this `Content-Type` header; `None` if the type is not supported.
     #[must_use]
     pub fn from_content_type(content_type: &str) -> Option<Self> {
         let media_type = content_type.split(';').next().unwrap_or_default().trim();
@@ -56,7 +57,7 @@
     }
 }
 
-/// Scans one body.
+/// Scans one response body while its bytes arrive.
 #[derive(Debug)]
 pub struct BodyScanner {
     scanner: FormatScanner,
@@ -71,7 +72,7 @@
 }
 
 impl BodyScanner {
-    /// A scanner of a body of at most `max_bytes`.
+    /// Creates a scanner for a body of at most `max_bytes`.
     #[must_use]
     pub fn new(format: BodyFormat, max_bytes: u64) -> Self {
         let scanner = match format {
@@ -81,11 +82,12 @@
         Self { scanner, scanned_bytes: 0, max_bytes }
     }
 
-    /// Scans the next bytes; each item that they complete goes to `handler`.
+    /// Scans the next bytes of the body and passes each item that they complete to `handler`.
     ///
     /// # Errors
     ///
-    /// When the body is malformed or too large, or `handler` fails. The rest of the body can't be scanned then.
+    /// When the body is malformed or too large, or `handler` fails. The rest of the body can't be scanned
+    /// after an error.
     pub fn push(&mut self, bytes: &[u8], handler: &mut ItemHandler<'_>) -> Result<(), BodyError> {
         let offset = self.scanned_bytes;
         self.scanned_bytes += bytes.len() as u64;
@@ -99,11 +101,11 @@
         scanned.map_err(|located| located.into_body_error(offset))
     }
 
-    /// Ends the body.
+    /// Checks after the last bytes that the body is complete.
     ///
     /// # Errors
     ///
-    /// When it is incomplete.
+    /// When the body is incomplete.
     pub fn finish(&self) -> Result<(), BodyError> {
         let is_complete = match &self.scanner {
             FormatScanner::Json(json) => json.is_complete(),
--- a/crates/service-registry/src/eureka/body/xml.rs
+++ b/crates/service-registry/src/eureka/body/xml.rs
@@ -1,46 +1,50 @@
-//! An XML scanner that reads just enough to find the elements `instance`. What stands in them is not parsed here.
+//! An XML scanner that reads just enough to find the elements `instance`. Their contents are not parsed here.
 
 use super::{
     BodyItem, HASH_CODE, INSTANCE, ItemHandler, LocatedError, MAX_DEPTH, MAX_INSTANCE_BYTES, MAX_TOKEN_BYTES,
     ScanError, SyntaxError,
 };
 
-/// A tag with its attributes is no longer than this.
+/// The maximum length of a tag with its attributes.
 const MAX_TAG_BYTES: usize = 4 * 1024;
-/// The bytes of a byte order mark, which may stand before the first tag.
+/// The UTF-8 byte order mark, whose bytes may stand before the first tag.
 const BYTE_ORDER_MARK: [u8; 3] = [0xEF, 0xBB, 0xBF];
 
-/// What the scanner is in.
+/// The part of the document that the scanner is in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     #[default]
     Text,
-    /// Between `<` and `>`.
+    /// Inside a tag, between `<` and `>`.
     Tag {
-        /// The quote of the attribute value that is open, if one is.
+        /// The quotation mark that ends the current attribute value, if the scanner is inside one.
         quote: Option<u8>,
     },
     Comment,
     CData,
 }
 
-/// An instance that is being read.
+/// The instance that is being read.
 #[derive(Debug)]
 struct InstanceCapture {
+    /// The bytes of the instance so far, including the start tag.
     bytes: Vec<u8>,
-    /// How many elements are open around it.
+    /// The number of open elements around the instance.
     depth: usize,
 }
 
-/// The scanner's state between two bytes.
+/// A scanner that keeps its state between two bytes of a body.
 #[derive(Debug, Default)]
 pub(super) struct XmlScanner {
     state: State,
-    /// The tag that is being read; in a comment or a CDATA section its last few bytes.
+    /// The tag that is being read; in a comment or a CDATA section, the last few bytes, which show the
+    /// section's end.
     tag: Vec<u8>,
-    /// The start of the text since the last tag.
+    /// The start of the text since the last tag, at most [`MAX_TOKEN_BYTES`].
     text: Vec<u8>,
+    /// The names of the open elements, outermost first.
     open_elements: Vec<Box<[u8]>>,
+    /// The instance that is being read, if any.
     capture: Option<InstanceCapture>,
     root_closed: bool,
 }
@@ -65,28 +69,29 @@
             capture.bytes.push(byte);
         }
         match self.state {
-            State::Text => self.text_byte(byte),
-            State::Tag { quote } => self.tag_byte(byte, quote, handler),
+            State::Text => self.scan_text_byte(byte),
+            State::Tag { quote } => self.scan_tag_byte(byte, quote, handler),
             State::Comment => {
-                self.skip_until(byte, b"-->");
+                self.skip_section_byte(byte, b"-->");
                 Ok(())
             }
             State::CData => {
-                self.skip_until(byte, b"]]>");
+                self.skip_section_byte(byte, b"]]>");
                 Ok(())
             }
         }
     }
 
-    fn text_byte(&mut self, byte: u8) -> Result<(), ScanError> {
+    fn scan_text_byte(&mut self, byte: u8) -> Result<(), ScanError> {
         if byte == b'<' {
             self.tag.clear();
             self.state = State::Tag { quote: None };
             return Ok(());
         }
-        let may_stand_outside = byte.is_ascii_whitespace() || BYTE_ORDER_MARK.contains(&byte);
-        if self.open_elements.is_empty() && !may_stand_outside {
-            let error = if self.root_closed { SyntaxError::TrailingData } else { SyntaxError::NotXml };
+        let is_allowed_outside_root = byte.is_ascii_whitespace() || BYTE_ORDER_MARK.contains(&byte);
+        if self.open_elements.is_empty() && !is_allowed_outside_root {
+            let error =
+                if self.root_closed { SyntaxError::TrailingData } else { SyntaxError::TextBeforeRoot };
             return Err(error.into());
         }
         if self.text.len() < MAX_TOKEN_BYTES {
@@ -95,7 +100,7 @@
         Ok(())
     }
 
-    fn tag_byte(
+    fn scan_tag_byte(
         &mut self,
         byte: u8,
         quote: Option<u8>,
@@ -111,28 +116,29 @@
             }
             (None, b'>') => {
                 self.state = State::Text;
-                return self.end_of_tag(handler);
+                return self.finish_tag(handler);
             }
             (None, b'<') => return Err(SyntaxError::NestedTag.into()),
             _ => {}
         }
         self.tag.push(byte);
         match self.tag.as_slice() {
-            b"!--" => self.skip_section(State::Comment),
-            b"![CDATA[" => self.skip_section(State::CData),
-            b"!D" | b"!E" => return Err(SyntaxError::DocumentType.into()),
+            b"!--" => self.enter_skipped_section(State::Comment),
+            b"![CDATA[" => self.enter_skipped_section(State::CData),
+            b"!D" | b"!E" => return Err(SyntaxError::UnsupportedDocumentType.into()),
             _ => {}
         }
         Ok(())
     }
 
-    fn skip_section(&mut self, section: State) {
+    /// Enters a comment or a CDATA section, whose bytes are skipped.
+    fn enter_skipped_section(&mut self, section: State) {
         self.state = section;
         self.tag.clear();
     }
 
-    /// Skips a byte of a section that ends with `end`.
-    fn skip_until(&mut self, byte: u8, end: &[u8]) {
+    /// Skips a byte of a comment or a CDATA section, which ends with `end`.
+    fn skip_section_byte(&mut self, byte: u8, end: &[u8]) {
         if self.tag.len() >= end.len() {
             self.tag.remove(0);
         }
@@ -142,34 +148,40 @@
         }
     }
 
-    fn end_of_tag(&mut self, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
+    /// Handles a tag that is complete.
+    fn finish_tag(&mut self, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
         let tag = std::mem::take(&mut self.tag);
         let text = std::mem::take(&mut self.text);
         if tag.starts_with(b"?") {
             return Ok(());
         }
         if tag.starts_with(b"!") {
-            return Err(SyntaxError::Declaration.into());
+            return Err(SyntaxError::UnsupportedDeclaration.into());
         }
         match tag.strip_prefix(b"/") {
-            Some(name) => self.end_tag(name.trim_ascii(), &text, handler),
-            None => self.start_tag(&tag, handler),
+            Some(name) => self.handle_end_tag(name.trim_ascii(), &text, handler),
+            None => self.handle_start_tag(&tag, handler),
         }
     }
 
-    fn end_tag(&mut self, name: &[u8], text: &[u8], handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
+    fn handle_end_tag(
+        &mut self,
+        name: &[u8],
+        text: &[u8],
+        handler: &mut ItemHandler<'_>,
+    ) -> Result<(), ScanError> {
         let open = self.open_elements.pop().ok_or(SyntaxError::UnmatchedEndTag)?;
         if *open != *name {
             return Err(SyntaxError::MismatchedEndTag.into());
         }
         if name == HASH_CODE && self.capture.is_none() {
-            let hash_code = std::str::from_utf8(text).map_err(|_| SyntaxError::HashCodeNotText)?;
+            let hash_code = std::str::from_utf8(text).map_err(|_| SyntaxError::HashCodeNotUtf8)?;
             handler(BodyItem::HashCode(hash_code.trim()))?;
         }
-        self.end_element(handler)
+        self.finish_element(handler)
     }
 
-    fn start_tag(&mut self, tag: &[u8], handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
+    fn handle_start_tag(&mut self, tag: &[u8], handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
         if self.root_closed {
             return Err(SyntaxError::TrailingData.into());
         }
@@ -185,14 +197,14 @@
             self.capture = Some(InstanceCapture { bytes, depth: self.open_elements.len() });
         }
         if tag.ends_with(b"/") {
-            return self.end_element(handler);
+            return self.finish_element(handler);
         }
         self.open_elements.push(name.into());
         Ok(())
     }
 
-    /// An element has ended; those that are still open are around it.
-    fn end_element(&mut self, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
+    /// Handles the end of an element, which is no longer in `open_elements`; passes an instance to `handler`.
+    fn finish_element(&mut self, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
         self.root_closed = self.open_elements.is_empty();
         let depth = self.open_elements.len();
         if let Some(capture) = self.capture.take_if(|capture| capture.depth == depth) {
--- a/crates/service-registry/src/eureka/decoder.rs
+++ b/crates/service-registry/src/eureka/decoder.rs
@@ -1,56 +1,59 @@
-//! Decodes one response body into a watch event. Nothing of a body counts before its end has been read. No I/O.
+//! Decodes one response body into a watch event. A body takes effect only after it has been read to its end.
+//! Performs no I/O.
 
 use super::body::{BodyError, BodyFormat, BodyItem, BodyScanner};
 use super::digest::{DigestEntry, RegistryDigest};
 use super::instance::{Instance, InstanceError, InvalidField};
-use super::mapping::{InstanceMapping, MappingError, ready_stamp, rejected_claim};
+use super::mapping::{InstanceMapping, MappingError, ready_change_stamp, rejected_claim};
 use super::poll_schedule::{FetchKind, Poll};
 use pooler_routing::membership::{EndpointClaim, WatchEvent};
 use std::fmt;
 
-/// No more instances than this are read from one body, so that the smallest ones a body can hold don't fill the memory.
+/// The maximum number of instances in one body. It keeps a body of the smallest possible instances from
+/// filling the memory.
 const MAX_INSTANCES: usize = 50_000;
-/// So many of the instances that could not be used are reported.
+/// The maximum number of unusable instances that are reported for one body.
 const MAX_REPORTED_PROBLEMS: usize = 8;
-/// The version of a snapshot from which no endpoint counts as missing.
-const VERSION_WITHOUT_ABSENCES: i64 = i64::MIN;
+/// The lowest snapshot version. No endpoint counts as missing from a snapshot with this version, because the
+/// change stamp of every absent endpoint is later.
+const MIN_SNAPSHOT_VERSION: i64 = i64::MIN;
 
-/// A body that was read to its end.
+/// The result of decoding a complete body.
 #[derive(Debug)]
 pub struct DecodedBody {
-    /// What it says of endpoints.
+    /// The endpoint claims of the body.
     pub event: WatchEvent,
-    /// What was seen in it.
+    /// Instance counts and problems of the body.
     pub summary: BodySummary,
 }
 
-/// What was seen in a body.
+/// The hash code, instance counts and problems found in a body.
 #[derive(Debug, Default)]
 pub struct BodySummary {
-    /// The registry's own hash code, where it gives one.
+    /// The registry's own hash code, if the body contains it.
     pub hash_code: Option<String>,
-    /// The instances of all applications.
+    /// The number of instances of all applications, including unreadable ones.
     pub instances: usize,
-    /// Instances that can't be decoded.
+    /// The number of instances that can't be decoded.
     pub unreadable: usize,
-    /// Instances of the mapped applications that can't be endpoints.
+    /// The number of instances of mapped applications that can't be endpoints.
     pub rejected: usize,
-    /// Of the rejected ones, those outside of the networks.
+    /// The number of rejected instances whose address lies outside of the allowed networks.
     pub outside_networks: usize,
-    /// The first few of the unreadable and rejected instances.
+    /// The first few unreadable and rejected instances, in the order of the body.
     pub problems: Vec<InstanceProblem>,
 }
 
-/// An instance that can't be used.
+/// An instance that can't be used as an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InstanceProblem {
-    /// It can't be decoded.
+    /// A field of the instance is missing or invalid.
     Unreadable(InvalidField),
-    /// It can't be an endpoint.
+    /// The instance can be decoded, but not mapped to an endpoint.
     Rejected {
-        /// The instance's id.
+        /// The instance id.
         id: String,
-        /// Why it can't.
+        /// The reason for the rejection.
         error: MappingError,
     },
 }
@@ -64,15 +67,15 @@
     }
 }
 
-/// Decodes a body while its bytes arrive.
+/// Decodes the response to one poll while its bytes arrive.
 pub struct BodyDecoder<'m> {
     scanner: BodyScanner,
     collector: ClaimCollector<'m>,
 }
 
 impl<'m> BodyDecoder<'m> {
-    /// A decoder of the response to `poll`, of at most `max_bytes`. `digest` is the one that the response will be
-    /// applied to.
+    /// Creates a decoder for the response to `poll`, a body of at most `max_bytes`. `digest` is the digest
+    /// that [`BodyDecoder::finish`] will be called with.
     #[must_use]
     pub fn new(
         mapping: &'m InstanceMapping,
@@ -87,35 +90,35 @@
             format,
             changes: DigestChanges::new(poll.fetch, digest),
             claims: Vec::new(),
-            newest_stamp: VERSION_WITHOUT_ABSENCES,
+            newest_change_stamp: MIN_SNAPSHOT_VERSION,
             summary: BodySummary::default(),
         };
         Self { scanner: BodyScanner::new(format, max_bytes), collector }
     }
 
-    /// Decodes the next bytes.
+    /// Decodes the next bytes of the body.
     ///
     /// # Errors
     ///
-    /// When the body is malformed or too large.
+    /// When the body is malformed, or exceeds the limit on its size or on its number of instances.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), BodyError> {
         let Self { scanner, collector } = self;
         scanner.push(bytes, &mut |item| collector.add_item(&item))
     }
 
-    /// Ends the body, and only now applies it to `digest`.
+    /// Ends the body and applies its changes to `digest`, which stays unchanged on an error.
     ///
     /// # Errors
     ///
     /// When the body is incomplete.
     pub fn finish(self, digest: &mut RegistryDigest) -> Result<DecodedBody, BodyError> {
         self.scanner.finish()?;
-        let ClaimCollector { changes, claims, newest_stamp, summary, .. } = self.collector;
+        let ClaimCollector { changes, claims, newest_change_stamp, summary, .. } = self.collector;
         let event = match changes {
             DigestChanges::Snapshot(snapshot) => {
                 *digest = snapshot;
-                // An instance that is there and could not be decoded must not count as missing.
-                let version = if summary.unreadable > 0 { VERSION_WITHOUT_ABSENCES } else { newest_stamp };
+                // The registry holds the unreadable instances, so their endpoints must not count as missing.
+                let version = if summary.unreadable > 0 { MIN_SNAPSHOT_VERSION } else { newest_change_stamp };
                 WatchEvent::Snapshot { claims, version }
             }
             DigestChanges::Delta { entries, .. } => {
@@ -127,13 +130,14 @@
     }
 }
 
-/// What a body changes in the digest. It covers all applications.
+/// The changes that a body makes to the digest. They cover the instances of all applications.
 enum DigestChanges {
-    /// All that the registry holds.
+    /// A new digest of all instances that the registry holds, which replaces the current one.
     Snapshot(RegistryDigest),
-    /// The changed instances, which are applied at the end of the body.
+    /// The changed instances, which are applied to the current digest at the end of the body.
     Delta {
-        /// An empty digest that makes entries for the one that they will be applied to.
+        /// An empty digest with the same hasher as the current one, so that entries made by it can be applied
+        /// to the current one.
         key_source: RegistryDigest,
         entries: Vec<DigestEntry>,
     },
@@ -156,14 +160,16 @@
     }
 }
 
-/// Collects the claims of a body's instances.
+/// Collects the claims and the digest changes that a body's instances make.
 struct ClaimCollector<'m> {
     mapping: &'m InstanceMapping,
+    /// The index of the registry server that sent the body.
     server: usize,
     format: BodyFormat,
     changes: DigestChanges,
     claims: Vec<EndpointClaim>,
-    newest_stamp: i64,
+    /// The greatest change stamp of the instances read so far, which becomes the version of a snapshot.
+    newest_change_stamp: i64,
     summary: BodySummary,
 }
 
@@ -189,10 +195,10 @@
         };
         match decoded {
             Ok(instance) => self.add_instance(&instance),
-            // An invalid field spoils one instance; anything else spoils the body.
+            // An invalid field makes one instance unusable; any other error makes the whole body unusable.
             Err(InstanceError::Field(field)) => {
                 self.summary.unreadable += 1;
-                self.report(InstanceProblem::Unreadable(field));
+                self.record_problem(InstanceProblem::Unreadable(field));
             }
             Err(error) => return Err(error.into()),
         }
@@ -200,8 +206,8 @@
     }
 
     fn add_instance(&mut self, instance: &Instance) {
-        // How new the registry's knowledge is shows in all instances that it holds, of whichever application.
-        self.newest_stamp = self.newest_stamp.max(ready_stamp(instance));
+        // Instances of other applications count too: they also show how recent the registry's data is.
+        self.newest_change_stamp = self.newest_change_stamp.max(ready_change_stamp(instance));
         match self.mapping.claim(instance, self.server) {
             Ok(claim) => self.claims.push(claim),
             Err(MappingError::OtherApplication) => {}
@@ -213,11 +219,11 @@
     fn reject(&mut self, instance: &Instance, error: MappingError) {
         self.summary.rejected += 1;
         self.summary.outside_networks += usize::from(matches!(error, MappingError::OutsideNetworks(_)));
-        self.report(InstanceProblem::Rejected { id: instance.id.clone(), error });
+        self.record_problem(InstanceProblem::Rejected { id: instance.id.clone(), error });
         self.claims.push(rejected_claim(instance));
     }
 
-    fn report(&mut self, problem: InstanceProblem) {
+    fn record_problem(&mut self, problem: InstanceProblem) {
         if self.summary.problems.len() < MAX_REPORTED_PROBLEMS {
             self.summary.problems.push(problem);
         }
--- a/crates/service-registry/src/eureka/digest.rs
+++ b/crates/service-registry/src/eureka/digest.rs
@@ -1,37 +1,40 @@
-//! What a registry holds in all, as far as its hash code needs: the status of each instance of each application. After
-//! a delta the hash code computed from it is compared with the registry's own. No I/O.
+//! The status of every instance of every application in a registry, which is all that the registry's hash
+//! code is computed from. After each successful poll, the hash code computed here is compared with the
+//! registry's own. Performs no I/O.
 
 use super::instance::{ActionType, Instance, InstanceStatus};
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::hash::{BuildHasher, RandomState};
 
-/// The statuses of all instances that a registry holds, by application and id.
+/// The statuses of all instances that a registry holds, by application and instance id.
 #[derive(Debug, Default)]
 pub struct RegistryDigest {
-    /// By a keyed hash of application and id: 20,000 of them take up less than 1 MB.
+    /// The keys are keyed hashes of application and instance id, made by `hasher`; 20,000 entries take up
+    /// less than 1 MB.
     statuses: HashMap<u64, InstanceStatus>,
-    /// How many instances have each status, in the order of [`InstanceStatus::ALL`].
+    /// The number of instances with each status, in the order of [`InstanceStatus::ALL`].
     counts: [usize; InstanceStatus::ALL.len()],
     hasher: RandomState,
 }
 
-/// An instance as far as a digest needs it: 16 bytes, so that a delta of many is held cheaply until its end.
+/// The change that one instance makes to a digest. An entry takes up 16 bytes, so that a delta of many
+/// instances is held cheaply until its end.
 #[derive(Clone, Copy, Debug)]
 pub struct DigestEntry {
     key: u64,
-    /// `None` for an instance that was deleted.
+    /// `None` for a deleted instance.
     status: Option<InstanceStatus>,
 }
 
 impl RegistryDigest {
-    /// An empty digest whose entries can be applied to this one.
+    /// Creates an empty digest with the same hasher, whose entries can be applied to this one.
     #[must_use]
     pub fn new_empty_like(&self) -> Self {
         Self { hasher: self.hasher.clone(), ..Self::default() }
     }
 
-    /// The entry of an instance as a body names it.
+    /// Creates the entry for an instance read from a body.
     #[must_use]
     pub fn entry(&self, instance: &Instance) -> DigestEntry {
         let key = self.hasher.hash_one((instance.app.to_ascii_uppercase(), &instance.id));
@@ -39,21 +42,21 @@
         DigestEntry { key, status: (!is_deleted).then_some(instance.status) }
     }
 
-    /// Applies an entry. The cost does not depend on the number of instances.
+    /// Applies an entry, at a cost that does not depend on the number of instances.
     pub fn apply(&mut self, entry: DigestEntry) {
         let replaced = match entry.status {
             None => self.statuses.remove(&entry.key),
             Some(status) => {
-                self.counts[index_of(status)] += 1;
+                self.counts[status_index(status)] += 1;
                 self.statuses.insert(entry.key, status)
             }
         };
         if let Some(status) = replaced {
-            self.counts[index_of(status)] -= 1;
+            self.counts[status_index(status)] -= 1;
         }
     }
 
-    /// The hash code as Eureka computes it: the statuses in alphabetical order, each with its count.
+    /// Computes the hash code as Eureka does: each status that occurs, in alphabetical order, with its count.
     #[must_use]
     pub fn hash_code(&self) -> String {
         let mut hash_code = String::new();
@@ -64,6 +67,6 @@
     }
 }
 
-fn index_of(status: InstanceStatus) -> usize {
+fn status_index(status: InstanceStatus) -> usize {
     InstanceStatus::ALL.iter().position(|other| *other == status).unwrap_or(0)
 }
--- a/crates/service-registry/src/eureka/instance/mod.rs
+++ b/crates/service-registry/src/eureka/instance/mod.rs
@@ -1,61 +1,61 @@
-//! An instance as Eureka's servers write it, in JSON or XML.
+//! Decodes an instance as Eureka servers write it, in JSON or XML.
 //!
-//! Source: the wiki page "Eureka REST operations" and the schema given there.
+//! Reference: the wiki page "Eureka REST operations" and the schema given there.
 
 mod raw;
 
 use raw::RawInstance;
 use std::collections::BTreeMap;
 
-/// Why an instance can't be read.
+/// Why an instance can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum InstanceError {
-    /// It is no JSON object of this kind.
-    #[error("an instance that can't be read: {0}")]
+    /// The bytes are not a JSON object with the structure of an instance.
+    #[error("invalid instance JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// It is no XML element of this kind.
-    #[error("an instance that can't be read: {0}")]
+    /// The text is not an XML element with the structure of an instance.
+    #[error("invalid instance XML: {0}")]
     Xml(#[from] quick_xml::DeError),
-    /// It is no text.
-    #[error("an instance that can't be read: {0}")]
+    /// The bytes of the XML element are not valid UTF-8.
+    #[error("invalid instance XML: {0}")]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// One of its fields is missing or can't be used.
+    /// A field of the instance is missing or invalid.
     #[error(transparent)]
     Field(#[from] InvalidField),
 }
 
-/// A field of an instance that is missing or can't be used.
+/// A field of an instance that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("instance '{id}': {field} is '{value}'")]
+#[error("instance '{id}': invalid {field} '{value}'")]
 pub struct InvalidField {
-    /// The instance's id, cut to 64 characters.
+    /// The instance id, cut to 64 characters.
     pub id: String,
-    /// The field, by its name on the wire.
+    /// The name of the field on the wire.
     pub field: &'static str,
-    /// What it holds, cut to 64 characters.
+    /// The value of the field, cut to 64 characters.
     pub value: String,
 }
 
-/// An instance's state as the registry reports it.
+/// The status of an instance as the registry reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InstanceStatus {
-    /// Down.
+    /// The instance is down.
     Down,
-    /// Taken out of service on purpose.
+    /// The instance was taken out of service on purpose.
     OutOfService,
-    /// Not ready yet.
+    /// The instance is not ready yet.
     Starting,
-    /// Not known.
+    /// The status is not known, or the registry reports one that Eureka does not define.
     Unknown,
-    /// In service.
+    /// The instance is in service.
     Up,
 }
 
 impl InstanceStatus {
-    /// All statuses, in the order in which a hash code names them.
+    /// All statuses, in alphabetical order of their names: the order in a hash code.
     pub const ALL: [Self; 5] = [Self::Down, Self::OutOfService, Self::Starting, Self::Unknown, Self::Up];
 
-    /// The name on the wire.
+    /// The name of the status on the wire.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -67,55 +67,57 @@
         }
     }
 
-    /// The status of this name; any other name counts as unknown, as in Eureka's own clients.
+    /// The status with this name, in upper or lower case. Any other name counts as unknown, as in Eureka's
+    /// own clients.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         Self::ALL.into_iter().find(|status| status.name().eq_ignore_ascii_case(name)).unwrap_or(Self::Unknown)
     }
 }
 
-/// What a delta says happened to an instance.
+/// The change of an instance that a delta reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ActionType {
-    /// It registered.
+    /// The instance registered.
     #[default]
     Added,
-    /// It changed.
+    /// The instance's data changed.
     Modified,
-    /// It was deleted.
+    /// The instance was deleted from the registry.
     Deleted,
 }
 
-/// An instance.
+/// An instance as the registry reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its id; the host name where a registry gives none, as in Eureka's own clients.
+    /// The instance id; the host name if the registry gives no id, as in Eureka's own clients.
     pub id: String,
-    /// Its application.
+    /// The name of the application that the instance belongs to, in any case.
     pub app: String,
-    /// Its IP address as text.
+    /// The IP address as the registry writes it, not validated.
     pub ip_address: String,
-    /// Its host name.
+    /// The host name of the instance.
     pub host_name: String,
-    /// Its port, unless it is disabled.
+    /// The plain port; `None` if the port is missing or disabled.
     pub port: Option<u16>,
-    /// Its port for TLS, unless it is disabled.
+    /// The port for TLS; `None` if the port is missing or disabled.
     pub secure_port: Option<u16>,
-    /// Its virtual addresses, separated by commas.
+    /// The virtual addresses of the instance, separated by commas.
     pub vip_address: String,
-    /// The status that counts: the registry has put an override in its place already.
+    /// The effective status. The registry has already replaced the instance's own status by an override, if
+    /// any.
     pub status: InstanceStatus,
-    /// The status that somebody set over its own; [`InstanceStatus::Unknown`] for none.
+    /// The override of the instance's own status; [`InstanceStatus::Unknown`] if there is none.
     pub overridden_status: InstanceStatus,
-    /// When it last changed itself, in ms by its own clock.
+    /// When the instance last changed its own data, in ms by the instance's clock (`lastDirtyTimestamp`).
     pub last_dirty_ms: i64,
-    /// When the registry last changed it, in ms by the registry's clock.
+    /// When the registry last changed the instance's record, in ms by the registry's clock.
     pub last_updated_ms: i64,
-    /// When its lease began, in ms by the clock of the registry's server that reports it.
+    /// When the instance's lease began, in ms by the clock of the registry server that reports the instance.
     pub lease_started_ms: i64,
-    /// What a delta says happened to it.
+    /// The change that a delta reports; [`ActionType::Added`] if the registry gives none.
     pub action: ActionType,
-    /// What its operators say of it.
+    /// The metadata that the instance's operators have set.
     pub metadata: BTreeMap<String, String>,
 }
 
@@ -124,7 +126,8 @@
     ///
     /// # Errors
     ///
-    /// When it is no such object, or a field that is needed is missing or can't be used.
+    /// When `bytes` is not the JSON object of an instance, or a required field is missing, or a field is
+    /// invalid.
     pub fn from_json(bytes: &[u8]) -> Result<Self, InstanceError> {
         let raw: RawInstance = serde_json::from_slice(bytes)?;
         Ok(raw.into_instance()?)
--- a/crates/service-registry/src/eureka/instance/raw.rs
+++ b/crates/service-registry/src/eureka/instance/raw.rs
@@ -1,5 +1,6 @@
-//! The instance on the wire: JSON by Jackson or XML by XStream. Both put numbers into text, ports into objects and
-//! lists of one into plain objects, so that all values are read leniently and checked afterwards.
+//! The wire form of an instance: JSON written by Jackson, or XML written by XStream. Both write numbers as
+//! strings, ports as objects and lists of one element as plain objects, so all values are read leniently and
+//! checked afterwards.
 
 use super::{ActionType, Instance, InstanceStatus, InvalidField};
 use serde::Deserialize;
@@ -7,15 +8,16 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Ids are no longer than this.
+/// The maximum length of an instance id.
 const MAX_ID_BYTES: usize = 256;
-/// Text from an instance is quoted in errors up to this many characters.
+/// The maximum number of characters of an instance's text that an error quotes.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// A value as text, wherever it stands: plain, or in an object beside attributes.
+/// A scalar value as text, written either by itself or in an object beside attributes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Scalar {
     text: String,
+    /// The attribute `enabled` of a port.
     enabled: Option<bool>,
 }
 
@@ -37,7 +39,7 @@
     type Value = Scalar;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a plain value")
+        f.write_str("a scalar value")
     }
 
     fn visit_str<E: de::Error>(self, text: &str) -> Result<Scalar, E> {
@@ -87,7 +89,7 @@
     registration_timestamp: Scalar,
 }
 
-/// The fields that are read; all others are ignored.
+/// The fields of an instance that are read; all others are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct RawInstance {
@@ -132,7 +134,7 @@
         let last_updated_ms = fields.number("lastUpdatedTimestamp", &self.last_updated_timestamp)?;
         let lease_started_ms =
             fields.number("registrationTimestamp", &self.lease_info.registration_timestamp)?;
-        // Keys with '@' are attributes, not metadata.
+        // Keys that start with '@' are attributes, not metadata.
         let metadata = self.metadata.into_iter().filter(|(key, _)| !key.starts_with('@'));
         Ok(Instance {
             port,
@@ -153,8 +155,8 @@
     }
 
     fn id(&self) -> Result<String, InvalidField> {
-        let written = if self.instance_id.text.is_empty() { &self.host_name } else { &self.instance_id };
-        let id = &written.text;
+        let source = if self.instance_id.text.is_empty() { &self.host_name } else { &self.instance_id };
+        let id = &source.text;
         if id.is_empty() || id.len() > MAX_ID_BYTES {
             return Err(FieldReader { id }.invalid("instanceId", id));
         }
@@ -162,7 +164,7 @@
     }
 }
 
-/// Reads the fields of the instance of this id.
+/// Parses the fields of the instance with this id, which is named in errors.
 struct FieldReader<'i> {
     id: &'i str,
 }
@@ -173,7 +175,7 @@
         InvalidField { id: quote(self.id), field, value: quote(value) }
     }
 
-    /// A number; 0 where there is none.
+    /// Parses a number; a missing one counts as 0.
     fn number(&self, field: &'static str, scalar: &Scalar) -> Result<i64, InvalidField> {
         match scalar.text.trim() {
             "" => Ok(0),
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A port; `None` where there is none or it is disabled.
+    /// Parses a port; `None` if the port is missing, 0 or disabled.
     fn port(&self, field: &'static str, scalar: &Scalar) -> Result<Option<u16>, InvalidField> {
         let text = scalar.text.trim();
         if text.is_empty() {
@@ -192,6 +194,7 @@
         Ok((port != 0 && is_enabled).then_some(port))
     }
 
+    /// Parses an action type; a missing one counts as [`ActionType::Added`].
     fn action(&self, field: &'static str, scalar: &Scalar) -> Result<ActionType, InvalidField> {
         match scalar.text.as_str() {
             "" | "ADDED" => Ok(ActionType::Added),
--- a/crates/service-registry/src/eureka/lease.rs
+++ b/crates/service-registry/src/eureka/lease.rs
@@ -1,54 +1,56 @@
-//! The lease of the pooler's own registration: which request is due, and when. An unavailable registry delays nothing:
-//! a request that failed is retried later. No I/O, no clock.
+//! The lease of the pooler's own registration: which request is due, and when. A failed request is retried
+//! later, so that an unavailable registry delays nothing else. Performs no I/O and reads no clock.
 
 use super::instance::InstanceStatus;
 use pooler_routing::{TimeDelta, Timestamp};
 
-/// The delay before the first retry of a failed request; it doubles from there.
+/// The delay before the first retry of a failed request. It doubles with each further failure.
 const INITIAL_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(1_000);
-/// The longest delay between two retries.
+/// The maximum delay before a retry.
 const MAX_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(30_000);
-/// The retry delay doubles no more often than this.
+/// The maximum number of times that the retry delay doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 5;
 
-/// A request of the lease.
+/// A request to the registry about the pooler's own lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRequest {
-    /// Registers the pooler with all its data and this status (`POST apps/{app}`).
+    /// Registers the pooler with its full instance data and this status (`POST apps/{app}`).
     Register(InstanceStatus),
-    /// Renews the lease: the heartbeat (`PUT apps/{app}/{id}`).
+    /// Renews the lease with a heartbeat that carries this status (`PUT apps/{app}/{id}`).
     Renew(InstanceStatus),
-    /// Takes the registration back (`DELETE apps/{app}/{id}`).
+    /// Deregisters the pooler (`DELETE apps/{app}/{id}`).
     Cancel,
 }
 
-/// The outcome of a request of the lease.
+/// The outcome of a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseResponse {
-    /// The registry accepted it.
+    /// The registry accepted the request.
     Accepted,
-    /// The registry knows no such registration.
+    /// The registry holds no registration of this pooler.
     NotRegistered,
-    /// It failed, or its outcome is unknown.
+    /// The request failed, or its outcome is unknown.
     Failed,
 }
 
-/// The lease as it stands.
+/// The state of the pooler's registration lease.
 #[derive(Clone, Debug)]
 pub struct RegistrationLease {
     renewal_interval: TimeDelta,
-    /// `None` once the pooler has ended.
+    /// The status to register; `None` once the pooler has ended.
     desired_status: Option<InstanceStatus>,
-    /// What the registry accepted last; `None` while it holds no registration.
+    /// The status that the registry accepted last; `None` while it holds no registration.
     registered_status: Option<InstanceStatus>,
-    /// When the pooler last changed itself, in ms: Eureka's `lastDirtyTimestamp`. Each change makes it later.
+    /// Eureka's `lastDirtyTimestamp`: when the pooler last changed its instance data, in ms. Every change
+    /// increases the value.
     last_dirty_ms: i64,
     next_request_at: Timestamp,
     consecutive_failures: u32,
 }
 
 impl RegistrationLease {
-    /// A lease that is renewed at this interval and starts at `now` with [`InstanceStatus::Starting`].
+    /// Creates a lease that is renewed at this interval. Its first request is due at `now` and registers the
+    /// pooler with [`InstanceStatus::Starting`].
     #[must_use]
     pub fn new(renewal_interval: TimeDelta, now: Timestamp) -> Self {
         Self {
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Sets the pooler's status; `None` once it has ended. A changed status is due at once, whatever failed before.
+    /// Sets the pooler's status; `None` once the pooler has ended. A request for a changed status is due at
+    /// once, even during the backoff after a failure.
     pub fn set_status(&mut self, now: Timestamp, status: Option<InstanceStatus>) {
         if self.desired_status != status {
             self.desired_status = status;
@@ -71,20 +74,21 @@
         }
     }
 
-    /// The `lastDirtyTimestamp` that goes with the next request.
+    /// The `lastDirtyTimestamp` to send with the next request, in ms.
     #[must_use]
     pub fn last_dirty_ms(&self) -> i64 {
         self.last_dirty_ms
     }
 
-    /// When the next request is due; `None` once the registry has taken the registration back.
+    /// When the next request is due; `None` once the pooler has ended and the registry holds no registration
+    /// of it.
     #[must_use]
     pub fn next_request_at(&self) -> Option<Timestamp> {
-        let is_open = self.desired_status.is_some() || self.registered_status.is_some();
-        is_open.then_some(self.next_request_at)
+        let needs_requests = self.desired_status.is_some() || self.registered_status.is_some();
+        needs_requests.then_some(self.next_request_at)
     }
 
-    /// The request that is due, if one is.
+    /// The request that is due at `now`, if any.
     #[must_use]
     pub fn due_request(&self, now: Timestamp) -> Option<LeaseRequest> {
         if self.next_request_at().is_none_or(|due| due > now) {
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Records the outcome of a request.
+    /// Records the outcome of a request and schedules the next one.
     pub fn record_response(&mut self, now: Timestamp, request: LeaseRequest, response: LeaseResponse) {
         match (request, response) {
             (LeaseRequest::Register(status) | LeaseRequest::Renew(status), LeaseResponse::Accepted) => {
@@ -109,7 +113,7 @@
             (LeaseRequest::Cancel, LeaseResponse::Accepted | LeaseResponse::NotRegistered) => {
                 self.registered_status = None;
             }
-            // The registry lost the registration: register at once, as a changed instance.
+            // The registry lost the registration: register again at once, with a later `lastDirtyTimestamp`.
             (LeaseRequest::Renew(_), LeaseResponse::NotRegistered) => {
                 self.registered_status = None;
                 self.advance_last_dirty(now);
--- a/crates/service-registry/src/eureka/mod.rs
+++ b/crates/service-registry/src/eureka/mod.rs
@@ -1,5 +1,6 @@
-//! The client's side of Eureka's REST API without I/O: response bodies, instances, the claims that they make, when to
-//! poll, and when to renew the pooler's own registration.
+//! The client side of Eureka's REST API without I/O: decoding response bodies and instances, mapping
+//! instances to endpoint claims, scheduling polls, and scheduling the requests of the pooler's own
+//! registration lease.
 
 pub mod body;
 pub mod decoder;
--- a/crates/service-registry/src/eureka/poll_schedule.rs
+++ b/crates/service-registry/src/eureka/poll_schedule.rs
@@ -1,93 +1,98 @@
-//! When to poll which server of a registry, and for what: deltas while these are consistent, a snapshot where they are
-//! not, another server when one fails, and with increasing backoff while all of them fail. No I/O, no clock.
+//! Decides which registry server to poll when, and for what: for deltas while these are consistent, for a
+//! snapshot otherwise; at another server after a failure, and with exponential backoff while all servers
+//! fail. Performs no I/O and reads no clock.
 
 use pooler_routing::{TimeDelta, Timestamp};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
-/// The delay between two servers while a round of failures goes on.
+/// The delay after a failure while not all servers have failed in the current round.
 const NEXT_SERVER_DELAY: TimeDelta = TimeDelta::from_millis(20);
-/// The backoff after the first round in which all servers failed; it doubles from there.
+/// The backoff after the first round in which all servers failed. It doubles with each further failed round.
 const INITIAL_BACKOFF: TimeDelta = TimeDelta::from_millis(500);
-/// The backoff doubles no more often than this.
+/// The maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// A `Retry-After` counts for no longer than this.
+/// The maximum delay that is accepted from a `Retry-After` header.
 const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(300_000);
-/// Snapshots that don't make deltas consistent are fetched after two to the power of this many intervals at the latest.
+/// The maximum delay of a snapshot while snapshots don't make deltas consistent is the poll interval times
+/// two to the power of this.
 const MAX_SNAPSHOT_DOUBLINGS: u32 = 5;
-/// The jitter of the interval, as a fraction of it.
+/// The jitter of the poll interval, as a fraction of the interval.
 const INTERVAL_JITTER: f64 = 0.1;
-/// The jitter of delays after failures.
+/// The jitter of the delay after a failure, as a fraction of the delay.
 const BACKOFF_JITTER: f64 = 0.25;
 
-/// What a poll fetches.
+/// The kind of data that a poll fetches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchKind {
-    /// All instances.
+    /// All instances that the registry holds.
     Snapshot,
-    /// The recent changes.
+    /// The recent changes of instances.
     Delta,
 }
 
-/// The next poll.
+/// A poll of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// The server, by number.
+    /// The index of the server.
     pub server: usize,
-    /// What is fetched.
+    /// The kind of data to fetch.
     pub fetch: FetchKind,
 }
 
 /// Why a poll failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollFailure {
-    /// No response, or one that can't be read.
+    /// There was no response, or its body can't be read.
     Unusable,
-    /// An error response.
+    /// The server sent an error response.
     Status {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// When to come back, if the response says so.
+        /// The delay from the response's `Retry-After` header, if any.
         retry_after: Option<TimeDelta>,
     },
 }
 
 impl PollFailure {
-    /// Whether it says that a server does not offer what was asked for.
+    /// Whether the response's status says that the server does not support the request.
     fn is_unsupported(self) -> bool {
         matches!(self, Self::Status { status: 403 | 404 | 501, .. })
     }
 }
 
-/// How a registry is polled.
+/// The settings of a [`PollSchedule`].
 #[derive(Clone, Copy, Debug)]
 pub struct PollSettings {
-    /// Between two successful polls.
+    /// The interval between two successful polls, before jitter.
     pub interval: TimeDelta,
-    /// The longest backoff while all servers fail.
+    /// The maximum backoff while all servers fail, before jitter.
     pub max_backoff: TimeDelta,
-    /// Whether deltas are fetched at all.
+    /// Whether to fetch deltas; otherwise every poll fetches a snapshot.
     pub use_deltas: bool,
 }
 
-/// Decides what is polled next.
+/// Schedules the polls of a registry.
 #[derive(Debug)]
 pub struct PollSchedule {
     settings: PollSettings,
     rng: ChaCha8Rng,
-    /// When each server may be polled again.
+    /// By server: the earliest time of the next poll, as its last `Retry-After` header demands.
     not_before: Vec<Timestamp>,
+    /// The index of the server that is polled next.
     server: usize,
     consecutive_failures: u32,
     next_poll_at: Timestamp,
-    /// When a snapshot is due, if one is wanted.
+    /// When a snapshot is due; `None` while deltas suffice.
     snapshot_due_at: Option<Timestamp>,
+    /// The number of inconsistent deltas since the last consistent one.
     consecutive_mismatches: u32,
+    /// Whether only snapshots are fetched: deltas are disabled, or the current server does not support them.
     server_lacks_deltas: bool,
 }
 
 impl PollSchedule {
-    /// A schedule over this many servers; the first one is due at once.
+    /// Creates a schedule for this many servers. A snapshot from the first server is due at `now`.
     #[must_use]
     pub fn new(servers: usize, settings: PollSettings, seed: u64, now: Timestamp) -> Self {
         Self {
@@ -107,13 +112,13 @@
     #[must_use]
     pub fn next_poll_at(&self) -> Timestamp {
         match self.snapshot_due_at {
-            // After a failure the backoff counts, whatever is wanted.
+            // While polls fail, the backoff applies to a due snapshot too.
             Some(due) if self.consecutive_failures == 0 => due.min(self.next_poll_at),
             _ => self.next_poll_at,
         }
     }
 
-    /// The next poll, once it is due.
+    /// The poll that is due at `now`.
     #[must_use]
     pub fn next_poll(&self, now: Timestamp) -> Poll {
         let needs_snapshot = self.server_lacks_deltas || self.snapshot_due_at.is_some_and(|due| due <= now);
@@ -121,13 +126,14 @@
         Poll { server: self.server, fetch }
     }
 
-    /// How many polls failed in a row.
+    /// The number of polls that have failed since the last success.
     #[must_use]
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
-    /// Records a successful poll; `is_consistent` if the registry's hash code matches what is held now.
+    /// Records a successful poll. `is_consistent` says whether the registry's hash code matches the instances
+    /// that are held after the poll.
     pub fn record_success(&mut self, now: Timestamp, fetch: FetchKind, is_consistent: bool) {
         self.consecutive_failures = 0;
         self.next_poll_at = now + self.with_jitter(self.settings.interval, INTERVAL_JITTER);
@@ -138,8 +144,9 @@
         }
     }
 
-    /// Schedules a snapshot after an inconsistent delta: the first time at once, then later and later, so that a
-    /// registry whose hash code is always wrong need not send a snapshot at each poll.
+    /// Schedules a snapshot after an inconsistent delta: at once after the first one, with an increasing
+    /// delay after further ones, so that a registry whose hash code is always wrong need not send a snapshot
+    /// at each poll.
     fn record_mismatch(&mut self, now: Timestamp) {
         let delay = match self.consecutive_mismatches {
             0 => TimeDelta(0),
@@ -149,10 +156,10 @@
         self.consecutive_mismatches += 1;
     }
 
-    /// Records a failed poll.
+    /// Records a failed poll and schedules a retry.
     pub fn record_failure(&mut self, now: Timestamp, fetch: FetchKind, failure: PollFailure) {
         if fetch == FetchKind::Delta && failure.is_unsupported() {
-            // The server has no deltas; nothing else is wrong with it.
+            // The server does not support deltas. That does not count as a failure of the server.
             self.server_lacks_deltas = true;
             self.snapshot_due_at = Some(now);
             return;
@@ -162,18 +169,19 @@
             self.not_before[self.server] = now + TimeDelta(delay.0.clamp(0, MAX_RETRY_AFTER.0));
         }
         self.switch_server(now);
-        // Another server may know other changes, which no delta shows.
+        // The next server may hold changes that its deltas don't contain.
         self.snapshot_due_at = Some(now);
         let delay = self.with_jitter(self.failure_delay(), BACKOFF_JITTER);
         self.next_poll_at = (now + delay).max(self.not_before[self.server]);
     }
 
-    /// Switches to the next server that may be polled now, or else to the one that may be polled first.
+    /// Switches to the next server that may be polled now, or else to the one that may be polled earliest.
+    /// The current server is the last candidate.
     fn switch_server(&mut self, now: Timestamp) {
         let servers = self.not_before.len();
-        let others_first = (1..=servers).map(|step| (self.server + step) % servers);
-        let available = others_first.clone().find(|server| self.not_before[*server] <= now);
-        let next = available.or_else(|| others_first.min_by_key(|server| self.not_before[*server]));
+        let candidates = (1..=servers).map(|step| (self.server + step) % servers);
+        let available = candidates.clone().find(|server| self.not_before[*server] <= now);
+        let next = available.or_else(|| candidates.min_by_key(|server| self.not_before[*server]));
         let next = next.unwrap_or(0);
         if next != self.server {
             self.server = next;
@@ -181,7 +189,8 @@
         }
     }
 
-    /// The delay after a failure: short within a round over all servers, then with exponential backoff.
+    /// The delay after a failure: short within a round over all servers, and an exponential backoff after
+    /// each round.
     fn failure_delay(&self) -> TimeDelta {
         let servers = self.not_before.len() as u32;
         if self.consecutive_failures % servers != 0 {
@@ -191,9 +200,10 @@
         INITIAL_BACKOFF.mul_f64(f64::from(1_u32 << doublings)).min(self.settings.max_backoff)
     }
 
-    /// The delta, longer or shorter by up to this fraction, so that many poolers don't poll in step.
-    fn with_jitter(&mut self, delta: TimeDelta, fraction: f64) -> TimeDelta {
+    /// Lengthens or shortens `delay` at random by up to `fraction` of it, so that many poolers don't poll in
+    /// step.
+    fn with_jitter(&mut self, delay: TimeDelta, fraction: f64) -> TimeDelta {
         let uniform = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
-        delta.mul_f64(1.0 + fraction * (2.0 * uniform - 1.0))
+        delay.mul_f64(1.0 + fraction * (2.0 * uniform - 1.0))
     }
 }
