--- a/crates/service-registry/src/eureka/body/json.rs
+++ b/crates/service-registry/src/eureka/body/json.rs
@@ -91,30 +91,27 @@
         Ok(end)
     }
 
+    /// Scans one byte outside of instances.
     fn scan_byte(&mut self, byte: u8, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
         match self.state {
             State::InString { is_key, escaped } => {
-                return self.scan_string_byte(byte, is_key, escaped, handler);
+                return self.scan_string(byte, is_key, escaped, handler);
             }
-            State::InLiteral if is_literal_byte(byte) => return self.scan_literal_byte(byte),
+            State::InLiteral if is_literal_byte(byte) => return self.scan_literal(byte),
             State::InLiteral => self.end_scalar(handler)?,
             _ => {}
         }
         if !matches!(byte, b' ' | b'\t' | b'\r' | b'\n') {
-            self.scan_structural_byte(byte)?;
+            self.scan_structure(byte)?;
         }
         Ok(())
     }
 
-    /// Scans a byte outside of strings and literals.
-    fn scan_structural_byte(&mut self, byte: u8) -> Result<(), ScanError> {
+    /// Scans one byte outside of strings and literals.
+    fn scan_structure(&mut self, byte: u8) -> Result<(), ScanError> {
         match (self.state, byte) {
-            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'{') => {
-                self.open_container(ContainerKind::Object)
-            }
-            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'[') => {
-                self.open_container(ContainerKind::Array)
-            }
+            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'{') => self.open(ContainerKind::Object),
+            (State::ExpectValue | State::ExpectValueOrArrayEnd, b'[') => self.open(ContainerKind::Array),
             (State::ExpectValue | State::ExpectValueOrArrayEnd, b'"') => {
                 self.value.clear();
                 self.state = State::InString { is_key: false, escaped: false };
@@ -123,7 +120,7 @@
             (State::ExpectValue | State::ExpectValueOrArrayEnd, b'-' | b'0'..=b'9' | b't' | b'f' | b'n') => {
                 self.value.clear();
                 self.state = State::InLiteral;
-                self.scan_literal_byte(byte)
+                self.scan_literal(byte)
             }
             (State::ExpectKeyOrObjectEnd | State::ExpectKey, b'"') => {
                 self.key.clear();
@@ -142,17 +139,18 @@
                 Ok(())
             }
             (State::ExpectValueOrArrayEnd | State::ExpectCommaOrEnd, b']') => {
-                self.close_container(ContainerKind::Array)
+                self.close(ContainerKind::Array)
             }
             (State::ExpectKeyOrObjectEnd | State::ExpectCommaOrEnd, b'}') => {
-                self.close_container(ContainerKind::Object)
+                self.close(ContainerKind::Object)
             }
             (State::Complete, _) => Err(SyntaxError::TrailingData.into()),
             _ => Err(SyntaxError::InvalidJson.into()),
         }
     }
 
-    fn scan_literal_byte(&mut self, byte: u8) -> Result<(), ScanError> {
+    /// Scans one byte of a number, `true`, `false` or `null`.
+    fn scan_literal(&mut self, byte: u8) -> Result<(), ScanError> {
         if self.value.len() >= MAX_TOKEN_BYTES {
             return Err(SyntaxError::LiteralTooLong.into());
         }
@@ -160,7 +158,8 @@
         Ok(())
     }
 
-    fn scan_string_byte(
+    /// Scans one byte of a string.
+    fn scan_string(
         &mut self,
         byte: u8,
         is_key: bool,
@@ -199,7 +198,8 @@
         Ok(())
     }
 
-    fn open_container(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
+    /// Opens a container, or begins to capture it if it is an instance.
+    fn open(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
         let holds_instances = match self.containers.last() {
             // The elements of an array stand under the array's key.
             Some(container) if container.kind == ContainerKind::Array => container.holds_instances,
@@ -221,7 +221,8 @@
         Ok(())
     }
 
-    fn close_container(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
+    /// Closes the innermost container, which must be of this kind.
+    fn close(&mut self, kind: ContainerKind) -> Result<(), ScanError> {
         match self.containers.pop() {
             Some(container) if container.kind == kind => {
                 self.state = self.state_after_value();
@@ -260,7 +261,7 @@
     fn find_end(&mut self, bytes: &[u8], start: usize) -> Result<Option<usize>, LocatedError> {
         for (offset, byte) in bytes.iter().enumerate().skip(start) {
             if self.in_string {
-                self.scan_string_byte(*byte);
+                self.scan_string(*byte);
                 continue;
             }
             match byte {
@@ -281,7 +282,8 @@
         Ok(None)
     }
 
-    fn scan_string_byte(&mut self, byte: u8) {
+    /// Scans one byte of a string in the instance.
+    fn scan_string(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
--- a/crates/service-registry/src/eureka/body/xml.rs
+++ b/crates/service-registry/src/eureka/body/xml.rs
@@ -69,20 +69,21 @@
             capture.bytes.push(byte);
         }
         match self.state {
-            State::Text => self.scan_text_byte(byte),
-            State::Tag { quote } => self.scan_tag_byte(byte, quote, handler),
+            State::Text => self.scan_text(byte),
+            State::Tag { quote } => self.scan_tag(byte, quote, handler),
             State::Comment => {
-                self.skip_section_byte(byte, b"-->");
+                self.skip_in_section(byte, b"-->");
                 Ok(())
             }
             State::CData => {
-                self.skip_section_byte(byte, b"]]>");
+                self.skip_in_section(byte, b"]]>");
                 Ok(())
             }
         }
     }
 
-    fn scan_text_byte(&mut self, byte: u8) -> Result<(), ScanError> {
+    /// Scans one byte outside of tags, comments and CDATA sections.
+    fn scan_text(&mut self, byte: u8) -> Result<(), ScanError> {
         if byte == b'<' {
             self.tag.clear();
             self.state = State::Tag { quote: None };
@@ -100,7 +101,8 @@
         Ok(())
     }
 
-    fn scan_tag_byte(
+    /// Scans one byte of a tag.
+    fn scan_tag(
         &mut self,
         byte: u8,
         quote: Option<u8>,
@@ -123,8 +125,8 @@
         }
         self.tag.push(byte);
         match self.tag.as_slice() {
-            b"!--" => self.enter_skipped_section(State::Comment),
-            b"![CDATA[" => self.enter_skipped_section(State::CData),
+            b"!--" => self.enter_section(State::Comment),
+            b"![CDATA[" => self.enter_section(State::CData),
             b"!D" | b"!E" => return Err(SyntaxError::UnsupportedDocumentType.into()),
             _ => {}
         }
@@ -132,13 +134,13 @@
     }
 
     /// Enters a comment or a CDATA section, whose bytes are skipped.
-    fn enter_skipped_section(&mut self, section: State) {
+    fn enter_section(&mut self, section: State) {
         self.state = section;
         self.tag.clear();
     }
 
-    /// Skips a byte of a comment or a CDATA section, which ends with `end`.
-    fn skip_section_byte(&mut self, byte: u8, end: &[u8]) {
+    /// Skips one byte of a comment or a CDATA section, which ends with `end`.
+    fn skip_in_section(&mut self, byte: u8, end: &[u8]) {
         if self.tag.len() >= end.len() {
             self.tag.remove(0);
         }
--- a/crates/service-registry/src/eureka/decoder.rs
+++ b/crates/service-registry/src/eureka/decoder.rs
@@ -21,7 +21,7 @@
 /// The result of decoding a complete body.
 #[derive(Debug)]
 pub struct DecodedBody {
-    /// The endpoint claims of the body.
+    /// The watch event with the endpoint claims of the body.
     pub event: WatchEvent,
     /// Instance counts and problems of the body.
     pub summary: BodySummary,
--- a/crates/service-registry/src/eureka/mapping.rs
+++ b/crates/service-registry/src/eureka/mapping.rs
@@ -203,7 +203,7 @@
     instance.metadata.get(key).map(String::as_str).filter(|value| !value.is_empty())
 }
 
-/// Cuts `text` to the length that an error may truncate.
+/// Cuts `text` to the length that an error may quote.
 fn truncate(text: &str) -> String {
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
--- a/crates/service-registry/src/eureka/poll_schedule.rs
+++ b/crates/service-registry/src/eureka/poll_schedule.rs
@@ -1,6 +1,6 @@
-//! Decides which registry server to poll when, and for what: for deltas while these are consistent, for a
-//! snapshot otherwise; at another server after a failure, and with exponential backoff while all servers
-//! fail. Performs no I/O and reads no clock.
+//! Decides when to poll which registry server, and for what: for deltas while these are consistent, for a
+//! snapshot otherwise. A failure moves the polls to another server; while all servers fail, polls are delayed
+//! by an exponential backoff. Performs no I/O and reads no clock.
 
 use pooler_routing::{TimeDelta, Timestamp};
 use rand_chacha::ChaCha8Rng;
@@ -14,8 +14,8 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 /// The maximum delay that is accepted from a `Retry-After` header.
 const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(300_000);
-/// The maximum delay of a snapshot while snapshots don't make deltas consistent is the poll interval times
-/// two to the power of this.
+/// While snapshots don't make deltas consistent, the next snapshot is delayed by at most two to the power of
+/// this many poll intervals.
 const MAX_SNAPSHOT_DOUBLINGS: u32 = 5;
 /// The jitter of the poll interval, as a fraction of the interval.
 const INTERVAL_JITTER: f64 = 0.1;
@@ -77,7 +77,7 @@
 pub struct PollSchedule {
     settings: PollSettings,
     rng: ChaCha8Rng,
-    /// By server: the earliest time of the next poll, as its last `Retry-After` header demands.
+    /// The earliest time at which each server may be polled again, as set by `Retry-After` headers.
     not_before: Vec<Timestamp>,
     /// The index of the server that is polled next.
     server: usize,
--- a/crates/service-registry/tests/bodies.rs
+++ b/crates/service-registry/tests/bodies.rs
@@ -14,7 +14,7 @@
 
 /// A size limit in bytes that no body of these tests reaches.
 const MAX_BYTES: u64 = 8 << 20;
-/// A JSON instance in service. Its metadata and its nested objects look like the end or the start of an instance.
+/// A JSON instance in service. Its metadata and a nested object resemble the start and the end of instances.
 const ACTIVE: &str = r#"{"instanceId":"s-1","app":"DB","ipAddr":"10.1.0.4","hostName":"h","status":"UP",
  "overriddenstatus":"UNKNOWN","port":{"$":6543,"@enabled":"true"},"securePort":{"$":"443","@enabled":"false"},
  "leaseInfo":{"registrationTimestamp":17},"metadata":{"group":"2","role":"primary","note":"}]{[\" \\"},
