--- a/crates/service-registry/src/eureka/body/json.rs
+++ b/crates/service-registry/src/eureka/body/json.rs
@@ -94,9 +94,7 @@
     /// Scans one byte outside of instances.
     fn scan_byte(&mut self, byte: u8, handler: &mut ItemHandler<'_>) -> Result<(), ScanError> {
         match self.state {
-            State::InString { is_key, escaped } => {
-                return self.scan_string(byte, is_key, escaped, handler);
-            }
+            State::InString { is_key, escaped } => return self.scan_string(byte, is_key, escaped, handler),
             State::InLiteral if is_literal_byte(byte) => return self.scan_literal(byte),
             State::InLiteral => self.end_scalar(handler)?,
             _ => {}
