--- a/crates/pooler/src/cli.rs
+++ b/crates/pooler/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line.
+//! The command line of the pooler. The doc comments of these types are its help texts.
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// A pooler that routes reads and writes over a primary and its replicas.
+/// A PostgreSQL pooler that routes reads and writes to a primary and its replicas.
 #[derive(Parser)]
 #[command(name = "pooler", version, args_conflicts_with_subcommands = true)]
 pub struct Cli {
@@ -15,18 +15,18 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve, in the foreground. This is what happens without a command, too.
+    /// Run the pooler in the foreground (the default command).
     Run(RunArguments),
-    /// Read the files that a start would read, and report all that is wrong with them.
+    /// Check configuration files without starting the pooler, and report all errors.
     Check(CheckArguments),
-    /// Poll the registry once, and print the endpoints that this pooler would use.
+    /// Poll the service registry once, and print the endpoints that the pooler would use.
     #[command(name = "members")]
     ListEndpoints(ListEndpointsArguments),
 }
 
 #[derive(Args)]
 pub struct RunArguments {
-    /// The platform's configuration.
+    /// The platform's configuration file.
     #[arg(env = "GW_CONFIG")]
     pub config: Option<PathBuf>,
     /// The operator's file.
@@ -36,12 +36,12 @@
 
 #[derive(Args)]
 pub struct CheckArguments {
-    /// An operator's file.
+    /// The operator's file to check, together with the files that it names.
     pub file: Option<PathBuf>,
-    /// The platform's configuration.
+    /// The platform's configuration file to check.
     #[arg(long, env = "GW_CONFIG")]
     pub config: Option<PathBuf>,
-    /// Print the schema of the operator's file and end.
+    /// Print the schema of the operator's file, and exit.
     #[arg(long)]
     pub schema: bool,
 }
@@ -51,7 +51,7 @@
     /// The operator's file.
     #[arg(long, env = "LINNETDEAL_OPERATOR")]
     pub operator: PathBuf,
-    /// As one JSON object.
+    /// Print one JSON object instead of a table.
     #[arg(long)]
     pub json: bool,
 }
--- a/crates/pooler/src/commands/check.rs
+++ b/crates/pooler/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `pooler check`: reads the files that a start would read, and reports all that is wrong with them.
+//! `pooler check`: checks the configuration files without starting the pooler, and reports all errors.
 
 use crate::cli::CheckArguments;
 use crate::error::CommandError;
@@ -7,7 +7,7 @@
 use pooler_proxy::config::Config;
 use std::path::Path;
 
-/// Checks the files, or prints the schema of the operator's file.
+/// Checks the given files, or only prints the schema of the operator's file if that is requested.
 pub fn check(arguments: CheckArguments) -> Result<(), CommandError> {
     if arguments.schema {
         print!("{SCHEMA}");
@@ -23,7 +23,7 @@
     if errors.is_empty() { Ok(()) } else { Err(CommandError::InvalidFiles(errors)) }
 }
 
-/// Checks the operator's file, and the files that it names.
+/// Checks the operator's file, and the password and certificate files that it names.
 fn check_operator_file(path: &Path) -> Result<(), CommandError> {
     let operator = OperatorConfig::load(path)?;
     if let Some(settings) = &operator.registry {
--- a/crates/pooler/src/commands/list_endpoints.rs
+++ b/crates/pooler/src/commands/list_endpoints.rs
@@ -1,4 +1,5 @@
-//! `pooler members`: prints the endpoints that a pooler with this operator's file would use now.
+//! `pooler members`: polls the service registry of an operator's file, and prints the endpoints that a pooler
+//! with this file would use.
 
 use crate::cli::ListEndpointsArguments;
 use crate::error::CommandError;
@@ -16,10 +17,10 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The registry is the only source here.
+/// The registry's source id; this command has no other endpoint source.
 const REGISTRY: SourceId = SourceId(0);
 
-/// Polls the registry of an operator's file once, and prints its endpoints.
+/// Polls the registry that the operator's file configures once, and prints its endpoints.
 pub fn list_endpoints(arguments: &ListEndpointsArguments) -> Result<(), CommandError> {
     let operator = OperatorConfig::load(&arguments.operator)?;
     let settings = operator.registry.ok_or(CommandError::NoRegistry)?;
@@ -39,7 +40,8 @@
     Ok(())
 }
 
-/// Polls until a server responds, each server at most once.
+/// Polls one registry server after another until a poll succeeds, at most `servers` times. Returns the error
+/// of the last poll if all fail.
 async fn poll_until_success(
     watcher: &mut RegistryWatcher<MembershipSink>,
     servers: usize,
@@ -54,7 +56,7 @@
     result
 }
 
-/// Applies what the registry reports to a membership of its own.
+/// Collects the registry's watch events in a membership that has no other source.
 #[derive(Clone)]
 struct MembershipSink(Rc<RefCell<Membership>>);
 
@@ -79,7 +81,8 @@
     }
 }
 
-/// The names of states and fields are an interface for the operators' scripts.
+/// The printed name of a lifecycle. Operators' scripts depend on these names, and on the keys of
+/// [`json_report`].
 fn state_name(lifecycle: Lifecycle) -> &'static str {
     match lifecycle {
         Lifecycle::Active => "up",
@@ -132,12 +135,13 @@
     }
     let (rejected, outside) = (counters.rejected_instances.get(), counters.outside_networks.get());
     if rejected > 0 {
-        table += &format!("{rejected} refused, of which {outside} lie outside of the networks\n");
+        table +=
+            &format!("refused instances: {rejected}, {outside} of them outside of the configured networks\n");
     }
     table
 }
 
-/// A line of the table.
+/// A row of the table, or its header.
 struct TableRow<'a> {
     id: &'a str,
     address: &'a str,
--- a/crates/pooler/src/commands/mod.rs
+++ b/crates/pooler/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! The commands of the command line, one module for each.
 
 pub mod check;
 pub mod list_endpoints;
--- a/crates/pooler/src/commands/run.rs
+++ b/crates/pooler/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `pooler run`: serves until the process is told to end.
+//! `pooler run`: serves clients until a signal shuts the process down.
 
 use crate::cli::RunArguments;
 use crate::error::CommandError;
@@ -7,7 +7,7 @@
 use pooler_proxy::Pooler;
 use pooler_proxy::config::Config;
 
-/// Reads the files and serves, until the pooler has drained after a signal.
+/// Loads the configuration and serves clients; returns once the pooler has drained after a signal.
 pub fn run(arguments: RunArguments) -> Result<(), CommandError> {
     let config_file = arguments.config.ok_or(CommandError::MissingConfig)?;
     let operator = match &arguments.operator {
@@ -15,7 +15,7 @@
         Some(path) => OperatorConfig::load(path)?,
     };
     let config = Config::load_at_start(&config_file)?;
-    logging::start(&operator.log);
+    logging::init(&operator.log);
     let (name, seed) = (config.name.clone(), config.seed);
     let pooler = Pooler::new(config, config_file)?;
     match &operator.registry {
--- a/crates/pooler/src/error.rs
+++ b/crates/pooler/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code for it.
+//! Errors of the commands, with their exit codes.
 
 use pooler_operator_config::OperatorConfigError;
 use pooler_proxy::StartError;
@@ -6,19 +6,21 @@
 use pooler_service_registry::client::{CallError, SetupError};
 use std::io;
 
-/// The exit code for a configuration that can't be used, as sysexits.h has it.
+/// Exit code for an invalid configuration: `EX_CONFIG` of `sysexits.h`.
 const EXIT_CONFIG: u8 = 78;
-/// The exit code for any other failure.
+/// Exit code for all other errors.
 const EXIT_FAILURE: u8 = 1;
 
-/// Why a command failed.
+/// An error that ends a command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    #[error("name a configuration, as GW_CONFIG or as the only argument")]
+    #[error("no configuration file: pass its path as the only argument, or set GW_CONFIG")]
     MissingConfig,
-    #[error("nothing to check: name an operator's file, or a configuration with --config")]
+    #[error(
+        "nothing to check: pass the path of an operator's file, or of a configuration file with --config"
+    )]
     NothingToCheck,
-    #[error("no registry stands in this file")]
+    #[error("the operator's file configures no registry")]
     NoRegistry,
     #[error(transparent)]
     OperatorFile(#[from] OperatorConfigError),
@@ -26,28 +28,28 @@
     Config(#[from] ConfigError),
     #[error(transparent)]
     RegistrySetup(#[from] SetupError),
-    /// All that is wrong with the files that were checked.
-    #[error("{}", lines(.0))]
+    /// The errors of the checked files, one entry for each file that has errors.
+    #[error("{}", join_lines(.0))]
     InvalidFiles(Vec<CommandError>),
     #[error(transparent)]
     Start(#[from] StartError),
-    #[error("no server of the registry answered: {0}")]
+    #[error("no registry server returned a usable response; last error: {0}")]
     RegistryUnavailable(#[from] CallError),
     #[error(transparent)]
     Output(#[from] io::Error),
 }
 
 impl CommandError {
-    /// The line or lines for standard error.
+    /// The text for standard error: one line or several.
     pub fn message(&self) -> String {
         match self {
-            // Each line begins with the name of its file.
+            // No prefix, so that a line can begin with the path of its file.
             Self::InvalidFiles(_) => self.to_string(),
             _ => format!("pooler: {self}"),
         }
     }
 
-    /// The exit code of the process.
+    /// The exit code of the process for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::MissingConfig
@@ -62,6 +64,6 @@
     }
 }
 
-fn lines(errors: &[CommandError]) -> String {
+fn join_lines(errors: &[CommandError]) -> String {
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
--- a/crates/pooler/src/logging.rs
+++ b/crates/pooler/src/logging.rs
@@ -1,10 +1,10 @@
-//! The log on standard error: text, or one JSON object a line.
+//! Logging to standard error, as text or as one JSON object per line.
 
 use pooler_operator_config::{LogFormat, LogLevel, LogSettings};
 use std::io::{self, Write};
 use tracing::Level;
 
-/// Standard error, which may be closed: what can't be written is dropped.
+/// A writer to standard error that drops all output it can't write, since standard error may be closed.
 struct LossyStderr;
 
 impl Write for LossyStderr {
@@ -18,8 +18,8 @@
     }
 }
 
-/// Installs the log for the rest of the process.
-pub fn start(settings: &LogSettings) {
+/// Installs the process-wide `tracing` subscriber; must be called only once.
+pub fn init(settings: &LogSettings) {
     let level = match settings.level {
         LogLevel::Error => Level::ERROR,
         LogLevel::Warn => Level::WARN,
@@ -30,7 +30,7 @@
         .with_max_level(level)
         .with_writer(|| LossyStderr)
         .with_ansi(false)
-        // The subscriber would report its own errors to standard error, and end the process where that is closed.
+        // By default, the subscriber's own errors go to standard error and end the process if it is closed.
         .log_internal_errors(false);
     match settings.format {
         LogFormat::Text => subscriber.with_target(false).init(),
--- a/crates/pooler/src/main.rs
+++ b/crates/pooler/src/main.rs
@@ -1,4 +1,4 @@
-//! The pooler's process: the command line, the log, and the wiring of the proxy with a service registry.
+//! The pooler's process: command line, logging, and service-registry discovery for the proxy.
 
 mod cli;
 mod commands;
@@ -23,12 +23,13 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => report(&error),
+        Err(error) => report_error(&error),
     }
 }
 
-fn report(error: &CommandError) -> ExitCode {
-    // A closed standard error changes nothing.
+/// Writes the error to standard error, and returns the exit code of the process.
+fn report_error(error: &CommandError) -> ExitCode {
+    // The exit code is the same if standard error is closed.
     let _ = writeln!(std::io::stderr(), "{}", error.message());
     ExitCode::from(error.exit_code())
 }
--- a/crates/pooler/src/registry_config.rs
+++ b/crates/pooler/src/registry_config.rs
@@ -1,4 +1,4 @@
-//! From the operator's settings to the configuration of the registry client.
+//! Converts the operator's registry settings into the configuration of the registry client.
 
 use pooler_operator_config::{FetchMode, RegistrySettings};
 use pooler_routing::TimeDelta;
@@ -13,25 +13,26 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The path of all applications.
+/// The API path of the instances of all applications.
 const ALL_APPS_PATH: &str = "/apps";
-/// Ids are no longer than this.
-const MAX_ID_CHARS: usize = 128;
+/// Maximum length of the default instance id of the pooler.
+const MAX_DEFAULT_ID_CHARS: usize = 128;
 
-/// The pooler that registers itself.
+/// The identity under which the pooler registers itself.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolerIdentity<'a> {
-    /// Its name.
+    /// The pooler's name in the platform's configuration.
     pub name: &'a str,
-    /// Where it listens.
+    /// The address on which the pooler listens for clients.
     pub address: SocketAddr,
 }
 
-/// The configuration for these settings. Without `pooler` the pooler does not register itself, whatever they say.
+/// Returns the registry client's configuration for these settings. If `pooler` is `None`, self-registration
+/// is off even if the settings configure it.
 ///
 /// # Errors
 ///
-/// When a server's URL can't be called.
+/// When the URL of a registry server can't be used.
 pub fn registry_config(
     settings: &RegistrySettings,
     pooler: Option<PoolerIdentity<'_>>,
@@ -80,7 +81,7 @@
         DrainRelease::Registration
     };
     InstanceMapping {
-        // Eureka writes application names in upper case.
+        // Eureka reports application names in upper case.
         apps: settings.apps.iter().map(|app| app.to_ascii_uppercase()).collect(),
         networks,
         group_key: settings.metadata_keys.group.clone(),
@@ -107,7 +108,7 @@
 
 fn self_registration(settings: &RegistrySettings, pooler: PoolerIdentity<'_>) -> Option<SelfRegistration> {
     let registration = settings.registration.as_ref()?;
-    let default_id = || id_for_url(&format!("{}:{}", pooler.name, pooler.address));
+    let default_id = || url_safe_id(&format!("{}:{}", pooler.name, pooler.address));
     Some(SelfRegistration {
         app: registration.app.clone(),
         id: registration.id.clone().unwrap_or_else(default_id),
@@ -117,8 +118,9 @@
     })
 }
 
-/// An id that can stand in a URL, whatever the platform calls this pooler.
-fn id_for_url(id: &str) -> String {
-    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "._:-".contains(letter);
-    id.chars().take(MAX_ID_CHARS).map(|letter| if is_allowed(letter) { letter } else { '-' }).collect()
+/// Makes an id usable in a URL path, since the platform may give the pooler any name: replaces all characters
+/// but ASCII letters, digits and `._:-` by `-`, and truncates the id to [`MAX_DEFAULT_ID_CHARS`].
+fn url_safe_id(id: &str) -> String {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._:-".contains(c);
+    id.chars().take(MAX_DEFAULT_ID_CHARS).map(|c| if is_allowed(c) { c } else { '-' }).collect()
 }
--- a/crates/pooler/src/registry_discovery.rs
+++ b/crates/pooler/src/registry_discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery through a service registry, beside the platform's own: watches the registry, and keeps the pooler's
-//! registration in it.
+//! Discovery through a service registry, in addition to the platform's discovery service: watches the
+//! registry's instances, and maintains the pooler's own registration.
 
 use crate::registry_config::{PoolerIdentity, registry_config};
 use pooler_operator_config::RegistrySettings;
@@ -17,16 +17,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the end of the process may wait for the registry to take the registration back. The platform grants more
-/// than that beyond the last responses.
+/// How long the process waits before it exits for the registry to confirm the deregistration. After the last
+/// responses the platform allows the process more time than this.
 const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Starts watching a registry, and registers the pooler there if that is configured. The returned future takes the
-/// registration back; it is the last thing to do before the process ends.
+/// Starts to watch a registry, and registers the pooler there if the settings configure a registration. The
+/// returned future deregisters the pooler; await it last, just before the process exits.
 ///
 /// # Errors
 ///
-/// When a file or a URL can't be used.
+/// When a file or a server URL of the settings can't be used.
 pub fn start(
     pooler: &Pooler,
     settings: &RegistrySettings,
@@ -53,7 +53,7 @@
     })
 }
 
-/// Starts the registrar, if the pooler registers itself, and has it announce the drain.
+/// Starts the registrar if the pooler registers itself, and reports it as out of service once it drains.
 fn start_registrar(
     pooler: &Pooler,
     config: &RegistryConfig,
@@ -85,7 +85,7 @@
 
     fn apply(&self, event: WatchEvent) -> MergeResult {
         let result = self.updates.apply(REGISTRY, event);
-        // The pooler can serve once it knows an endpoint to serve from.
+        // The pooler can serve requests once it knows an active endpoint.
         let has_active = result.changed.iter().any(|entry| entry.lifecycle == Lifecycle::Active);
         if has_active && self.registration.status() == Some(InstanceStatus::Starting) {
             self.registration.set_status(Some(InstanceStatus::Up));
--- a/crates/pooler/tests/commands.rs
+++ b/crates/pooler/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands `pooler check` and `pooler members`: output and exit codes.
+//! Output and exit codes of the commands `pooler check` and `pooler members`.
 
 use pooler_testbed::fleet::Fleet;
 use serde_json::{Value, json};
@@ -6,9 +6,10 @@
 use std::process::Command;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pooler");
+/// The exit code for an invalid configuration: `EX_CONFIG` of `sysexits.h`.
 const EXIT_CONFIG: Option<i32> = Some(78);
 
-/// What a command left behind.
+/// Exit code and output of a finished command.
 #[derive(Debug, PartialEq, Eq)]
 struct CommandResult {
     exit_code: Option<i32>,
@@ -16,7 +17,9 @@
     stderr: String,
 }
 
-fn run(arguments: &[&str]) -> CommandResult {
+/// Runs the built pooler with these arguments, and without the environment variables that name configuration
+/// files.
+fn run_pooler(arguments: &[&str]) -> CommandResult {
     let mut command = Command::new(PROGRAM);
     command.args(arguments).env_remove("GW_CONFIG").env_remove("LINNETDEAL_OPERATOR");
     let output = command.output().unwrap();
@@ -27,7 +30,7 @@
     }
 }
 
-/// A file that is removed when it is dropped.
+/// A temporary file, deleted on drop.
 struct TempFile(PathBuf);
 
 impl TempFile {
@@ -49,18 +52,18 @@
 }
 
 #[test]
-fn check_accepts_a_valid_file_silently() {
+fn check_accepts_a_valid_file_without_output() {
     let fleet = Fleet::start(2, 1).unwrap();
     let file = TempFile::new("valid.cue", &fleet.operator_config(""));
     let success = CommandResult { exit_code: Some(0), stdout: String::new(), stderr: String::new() };
-    assert_eq!(run(&["check", file.path()]), success);
+    assert_eq!(run_pooler(&["check", file.path()]), success);
 }
 
 #[test]
 fn check_reports_each_error_with_its_position() {
     let fleet = Fleet::start(2, 1).unwrap();
     let file = TempFile::new("invalid.cue", &fleet.operator_config("interval_s: 5\n\tprimary: 7"));
-    let CommandResult { exit_code, stderr, .. } = run(&["check", file.path()]);
+    let CommandResult { exit_code, stderr, .. } = run_pooler(&["check", file.path()]);
     assert_eq!(exit_code, EXIT_CONFIG);
     let path = file.path();
     assert!(stderr.contains(&format!("{path}:9:2: there is no field 'interval_s' here")), "{stderr}");
@@ -73,14 +76,14 @@
     let password = TempFile::new("password", "x");
     let user = format!("user: {{name: \"n\", password_file: {:?}}}", password.path());
     let file = TempFile::new("user.cue", &fleet.operator_config(&user));
-    let CommandResult { exit_code, stderr, .. } = run(&["check", file.path()]);
+    let CommandResult { exit_code, stderr, .. } = run_pooler(&["check", file.path()]);
     assert!(exit_code == EXIT_CONFIG && stderr.contains("others than its owner"), "{stderr}");
 }
 
 #[test]
 fn check_reports_errors_of_the_platform_configuration() {
     let file = TempFile::new("config.json", "{\n  \"listen\": 7}");
-    let CommandResult { exit_code, stderr, .. } = run(&["check", "--config", file.path()]);
+    let CommandResult { exit_code, stderr, .. } = run_pooler(&["check", "--config", file.path()]);
     assert_eq!(exit_code, EXIT_CONFIG);
     assert!(stderr.contains(file.path()) && stderr.contains("line 2 column"), "{stderr}");
 }
@@ -89,7 +92,8 @@
 fn members_lists_the_endpoints_of_the_registry() {
     let fleet = Fleet::start(2, 1).unwrap();
     let file = TempFile::new("members.cue", &fleet.operator_config(""));
-    let CommandResult { exit_code, stdout, .. } = run(&["members", "--operator", file.path(), "--json"]);
+    let CommandResult { exit_code, stdout, .. } =
+        run_pooler(&["members", "--operator", file.path(), "--json"]);
     assert_eq!(exit_code, Some(0));
     let report: Value = serde_json::from_str(&stdout).unwrap();
     let endpoints = report["members"].as_array().unwrap();
@@ -99,6 +103,6 @@
         (&json!("s-1"), &json!("up"), &json!(true))
     );
     assert_eq!(endpoints[1]["address"], json!(fleet.servers["s-2"].address.to_string()));
-    let CommandResult { stdout, .. } = run(&["members", "--operator", file.path()]);
+    let CommandResult { stdout, .. } = run_pooler(&["members", "--operator", file.path()]);
     assert!(stdout.starts_with("MEMBER") && stdout.lines().count() == 3, "{stdout}");
 }
--- a/crates/pooler/tests/registry.rs
+++ b/crates/pooler/tests/registry.rs
@@ -1,6 +1,7 @@
-//! The pooler with a service registry, against fake servers and registry peers. Nothing here depends on timing: a step
-//! is over when the registry has been polled again, since the pooler polls only after it has applied the response
-//! before.
+//! The pooler with a service registry, against fake servers and fake registry peers.
+//!
+//! No test depends on timing. The tests wait for polls instead: the pooler polls again only after it has
+//! applied the previous response.
 
 use pooler_testbed::clients::{Client, RequestClass};
 use pooler_testbed::fake_registry::{ReadBehavior, RegistryPeer};
@@ -14,19 +15,20 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pooler");
-/// Enough reads that each server in service receives some.
-const READS: usize = 60;
-const READ: RequestClass = RequestClass::UsageHistory;
+/// The number of reads in a check: enough that each server in service receives some.
+const READ_COUNT: usize = 60;
+const READ_CLASS: RequestClass = RequestClass::UsageHistory;
 
-/// A pooler with a registry, its fleet and a client.
+/// A running pooler with a service registry, a fleet of fake servers, and a client of the pooler.
 struct RegistryTest {
     fleet: Fleet,
     pooler: PoolerProcess,
     client: Client,
 }
 
-/// Starts a pooler with these lines in its operator's file, and waits until it knows the registry's instances.
-fn start(servers: usize, peers: usize, registry_settings: &str) -> RegistryTest {
+/// Starts a fleet, and a pooler with these lines in the registry settings of its operator's file; waits until
+/// the pooler knows the registry's instances.
+fn start_test(servers: usize, peers: usize, registry_settings: &str) -> RegistryTest {
     let fleet = Fleet::start(servers, peers).unwrap();
     let operator = fleet.operator_config(registry_settings);
     let pooler = PoolerProcess::start_with_registry(Path::new(PROGRAM), &operator).unwrap();
@@ -39,40 +41,43 @@
         self.fleet.perform(&action, &self.pooler).unwrap();
     }
 
-    /// Waits until all that a peer knows has been applied: until it has been polled twice more.
+    /// Waits until the pooler has applied all that a peer knows now. It waits for two more polls of this
+    /// peer: the response to the first poll contains what the peer knows, and the second poll is sent only
+    /// after that response has been applied.
     fn wait_until_applied(&self, peer: usize) {
-        let polls = |peer: &RegistryPeer| peer.received().reads();
-        let before = polls(&self.fleet.peers[peer]);
-        wait_until("the registry is polled", || polls(&self.fleet.peers[peer]) >= before + 2).unwrap();
+        let poll_count = |peer: &RegistryPeer| peer.received().reads();
+        let before = poll_count(&self.fleet.peers[peer]);
+        wait_until("the peer is polled twice", || poll_count(&self.fleet.peers[peer]) >= before + 2).unwrap();
     }
 
-    /// Sends this many reads, and returns how many of them each server received.
+    /// Sends `count` reads, and returns how many statements each server received meanwhile, by server id.
     fn reads_by_server(&mut self, count: usize) -> BTreeMap<String, usize> {
-        let sends = |fleet: &Fleet| -> Vec<usize> {
+        let statement_counts = |fleet: &Fleet| -> Vec<usize> {
             fleet.servers.keys().map(|name| lock(&fleet.history).sends(name)).collect()
         };
-        let before = sends(&self.fleet);
+        let before = statement_counts(&self.fleet);
         for _ in 0..count {
-            assert_eq!(self.client.request(READ), RequestOutcome::Served);
+            assert_eq!(self.client.request(READ_CLASS), RequestOutcome::Served);
         }
-        let counts = sends(&self.fleet).into_iter().zip(before).map(|(now, before)| now - before);
+        let counts = statement_counts(&self.fleet).into_iter().zip(before).map(|(now, before)| now - before);
         self.fleet.servers.keys().cloned().zip(counts).collect()
     }
 
-    /// How many of [`READS`] reads this server received.
+    /// Sends [`READ_COUNT`] reads, and returns how many statements this server received meanwhile.
     fn reads_of(&mut self, server: &str) -> usize {
-        self.reads_by_server(READS).get(server).copied().unwrap_or(0)
+        self.reads_by_server(READ_COUNT).get(server).copied().unwrap_or(0)
     }
 
-    /// Sends [`READS`] reads, and checks that at least three servers received some.
+    /// Sends [`READ_COUNT`] reads, and checks that at least three servers received some of them.
     fn assert_three_servers_in_use(&mut self, situation: &str) {
-        let reads = self.reads_by_server(READS);
+        let reads = self.reads_by_server(READ_COUNT);
         let in_use = reads.values().filter(|count| **count > 0).count();
         assert!(in_use >= 3, "{situation}: {reads:?}");
     }
 
-    /// Checks the rules that hold in all tests.
-    fn assert_rules_kept(&self) {
+    /// Checks the invariants of all tests: every request is answered, no server is sent requests past its
+    /// drain grace or outside of the networks, no read is stale, and no write runs twice.
+    fn assert_invariants_hold(&self) {
         let report = lock(&self.fleet.history).report();
         assert_eq!((report.drain_violations, report.stale_reads, report.doubled_writes), (0, 0, 0));
         assert_eq!((report.sends_outside_networks, report.answered), (0, report.requests));
@@ -81,7 +86,7 @@
 
 #[test]
 fn a_drain_persists_while_another_peer_still_lists_the_server_as_up() {
-    let mut test = start(3, 2, "");
+    let mut test = start_test(3, 2, "");
     test.fleet.peers[1].set_lag(Duration::from_secs(3_600));
     assert!(test.reads_of("s-2") > 0);
     test.perform(Action::Drain("s-2".into()));
@@ -90,12 +95,12 @@
     test.perform(Action::SetBehavior(0, ReadBehavior::CloseConnections));
     test.wait_until_applied(1);
     assert_eq!(test.reads_of("s-2"), 0, "the other peer's record is older than the drain");
-    // A later record of the server's own, from the peer that lags no more.
+    // The server changes its own status, which gives it a later timestamp; the other peer no longer lags.
     test.fleet.peers[1].set_lag(Duration::ZERO);
     test.perform(Action::ReturnToService("s-2".into()));
     test.wait_until_applied(1);
     assert!(test.reads_of("s-2") > 0);
-    test.assert_rules_kept();
+    test.assert_invariants_hold();
 }
 
 #[test]
@@ -110,7 +115,7 @@
         ReadBehavior::WrongHash,
         ReadBehavior::LostDelta,
     ];
-    let mut test = start(4, 1, "");
+    let mut test = start_test(4, 1, "");
     for behavior in behaviors {
         test.perform(Action::SetBehavior(0, behavior.clone()));
         test.wait_until_applied(0);
@@ -118,65 +123,65 @@
         test.perform(Action::SetBehavior(0, ReadBehavior::Normal));
         test.wait_until_applied(0);
     }
-    // A registry that has lost its memory and gets it back, instance by instance.
+    // The registry loses all registrations, and gets them back one instance after another.
     test.perform(Action::ClearRegistry);
     test.wait_until_applied(0);
     for _ in 0..2 {
         test.perform(Action::ReregisterAll(0));
         test.wait_until_applied(0);
-        test.assert_three_servers_in_use("instances return");
+        test.assert_three_servers_in_use("after all servers registered again");
     }
-    test.assert_rules_kept();
+    test.assert_invariants_hold();
 }
 
 #[test]
-fn registry_faults_are_logged_in_words_that_alerts_look_for() {
+fn registry_faults_are_logged_with_the_texts_that_alerts_match() {
     let faults = [
         (ReadBehavior::WrongHash, "does not agree"),
         (ReadBehavior::Empty, "is not believed; carrying on with what is known"),
         (ReadBehavior::Status { code: 500, retry_after: None }, "status 500; carrying on with what is known"),
     ];
-    let mut test = start(4, 1, "");
-    for (behavior, words) in faults {
+    let mut test = start_test(4, 1, "");
+    for (behavior, text) in faults {
         test.perform(Action::SetBehavior(0, behavior));
-        assert!(test.pooler.wait_for_log(words).is_ok(), "{words}");
+        assert!(test.pooler.wait_for_log(text).is_ok(), "{text}");
         test.perform(Action::SetBehavior(0, ReadBehavior::Normal));
         test.wait_until_applied(0);
     }
-    test.assert_rules_kept();
+    test.assert_invariants_hold();
 }
 
 #[test]
-fn a_server_that_left_or_moved_receives_no_requests_at_its_old_address() {
-    let mut test = start(4, 1, "");
+fn a_deregistered_or_moved_server_receives_no_requests_at_its_old_address() {
+    let mut test = start_test(4, 1, "");
     test.perform(Action::Deregister("s-2".into()));
     test.perform(Action::Move("s-3".into()));
     test.perform(Action::MoveOutside("s-4".into()));
     test.perform(Action::RegisterOutside("s-9".into()));
     test.wait_until_applied(0);
-    let reads = test.reads_by_server(READS);
+    let reads = test.reads_by_server(READ_COUNT);
     assert_eq!((reads["s-2"], reads["s-3"], reads["s-4"]), (0, 0, 0), "{reads:?}");
     assert!(reads["s-3-moved"] > 0, "{reads:?}");
     assert!(test.pooler.wait_for_log("lies outside of the networks").is_ok());
-    test.assert_rules_kept();
+    test.assert_invariants_hold();
 }
 
 #[test]
 fn the_pooler_registers_renews_announces_its_drain_and_deregisters() {
-    let mut test = start(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
+    let mut test = start_test(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
     let peer = test.fleet.peers[0].clone();
     let has_received = |request: &str| peer.received().lease_requests.iter().any(|line| line == request);
-    wait_until("it is up", || has_received("POST POOLER UP")).unwrap();
-    wait_until("it renews", || has_received("PUT POOLER UP")).unwrap();
+    wait_until("the pooler registers as UP", || has_received("POST POOLER UP")).unwrap();
+    wait_until("the pooler renews its registration", || has_received("PUT POOLER UP")).unwrap();
     let registrations = test.fleet.registrations.clone();
     let address = test.pooler.address.to_string();
     let id = registrations.ids().into_iter().find(|id| id.contains(&address)).unwrap();
-    // The registry loses it: it registers anew.
+    // The pooler registers again after the registry has lost its registration.
     registrations.deregister(&id);
-    wait_until("it is back", || registrations.get(&id).is_some()).unwrap();
+    wait_until("the pooler registers again", || registrations.get(&id).is_some()).unwrap();
     let before = peer.received().lease_requests.len();
     test.pooler.terminate().unwrap();
-    wait_until("it drains", || peer.received().lease_requests.len() > before).unwrap();
+    wait_until("the pooler announces its drain", || peer.received().lease_requests.len() > before).unwrap();
     assert!(test.pooler.wait().unwrap().success());
     let requests: Vec<String> = peer.received().lease_requests.split_off(before);
     let changes: Vec<&str> =
@@ -186,8 +191,8 @@
 }
 
 #[test]
-fn a_silent_registry_delays_neither_requests_nor_shutdown() {
-    let mut test = start(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
+fn an_unresponsive_registry_delays_neither_requests_nor_shutdown() {
+    let mut test = start_test(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
     test.perform(Action::SetBehavior(0, ReadBehavior::Silent));
     assert_eq!(test.reads_by_server(20).values().sum::<usize>(), 20);
     test.pooler.terminate().unwrap();
--- a/crates/pooler/tests/start.rs
+++ b/crates/pooler/tests/start.rs
@@ -1,4 +1,4 @@
-//! The start of the pooler, while something that it needs is not to be had for a moment.
+//! Startup and reload while the listen address is briefly in use or the configuration file is incomplete.
 
 mod support;
 
@@ -6,19 +6,19 @@
 use std::time::Duration;
 use support::*;
 
-/// How long the process of an earlier start still holds the address.
-const ADDRESS_HELD: Duration = Duration::from_millis(700);
-/// A change that discovery sends must count so long after SIGHUP.
-const RELOAD_LIMIT: Duration = Duration::from_secs(4);
+/// How long the listen address stays in use after the pooler's start, as if a previous process still held it.
+const ADDRESS_IN_USE: Duration = Duration::from_millis(700);
+/// From this time after SIGHUP on, the updates of a newly configured discovery service must take effect.
+const RELOAD_TIME_LIMIT: Duration = Duration::from_secs(4);
 
 #[test]
 fn startup_waits_for_an_address_that_is_still_in_use() {
     let server = FakeServer::answering("s-1", "replica");
-    let holder = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = holder.local_addr().unwrap();
+    let occupying_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = occupying_listener.local_addr().unwrap();
     let release = std::thread::spawn(move || {
-        std::thread::sleep(ADDRESS_HELD);
-        drop(holder);
+        std::thread::sleep(ADDRESS_IN_USE);
+        drop(occupying_listener);
     });
     let pooler =
         PoolerProcess::with_server(&server, "replica", |config| config.with("/listen", address.to_string()));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_configuration_that_was_read_while_being_written_is_read_again() {
+fn a_configuration_read_while_it_is_being_written_is_read_again() {
     let server = FakeServer::answering("s-1", "replica");
     let (before, after) = (FakeDiscovery::new(), FakeDiscovery::new());
     let config =
@@ -39,11 +39,8 @@
     pooler.write_configuration(&text[..text.len() / 2]);
     pooler.signal(Signal::Reload);
     pooler.wait_for_log("configuration kept as it was");
-    // The rest of it comes a moment after the signal, and no further signal does.
+    // The rest of the file is written after the signal, without a further signal.
     pooler.write_configuration(&text);
-    let watch = after.accept_watch_within(RELOAD_LIMIT);
-    assert!(
-        watch.is_some(),
-        "discovery is watched at its new address within the time after which changes must count"
-    );
+    let watch = after.accept_watch_within(RELOAD_TIME_LIMIT);
+    assert!(watch.is_some(), "no watch at the new discovery address within the time limit of a reload");
 }
--- a/crates/pooler/tests/support/client.rs
+++ b/crates/pooler/tests/support/client.rs
@@ -1,21 +1,24 @@
-//! A client of the pooler.
+//! A client of the pooler that speaks the PostgreSQL protocol.
 
 use super::{MessageStream, PoolerProcess, query_bytes, startup_bytes};
 use pooler_proxy::protocol;
 use std::net::{Shutdown, TcpStream};
 
-/// A response up to ReadyForQuery, or to the end of the connection.
+/// The messages of a response, up to ReadyForQuery or to the end of the connection.
 #[derive(Debug, Default, PartialEq)]
 pub struct Response {
-    /// The tags of its messages, in their order.
+    /// The tags of the messages, in the order of arrival.
     pub tags: String,
+    /// The value of the last data row.
     pub value: Option<Vec<u8>>,
+    /// The SQLSTATE of an error response.
     pub sql_state: Option<String>,
+    /// The detail field of an error response.
     pub detail: Option<String>,
 }
 
 impl Response {
-    /// The value as text.
+    /// The value of the last data row, as UTF-8 text.
     pub fn text(&self) -> Option<&str> {
         self.value.as_deref().map(|value| std::str::from_utf8(value).unwrap())
     }
@@ -24,7 +27,7 @@
         self.sql_state.as_deref()
     }
 
-    /// Whether it ended with ReadyForQuery.
+    /// Whether the response ended with ReadyForQuery.
     pub fn is_ready(&self) -> bool {
         self.tags.ends_with('Z')
     }
@@ -41,25 +44,25 @@
     }
 }
 
-/// A client's connection.
+/// A client's connection to the pooler.
 pub struct Client {
     pub stream: MessageStream,
 }
 
 impl Client {
-    /// Connects, and reads the welcome.
+    /// Connects, and waits for the startup response.
     pub fn connect(pooler: &PoolerProcess) -> Self {
         let mut client = Self::connect_with(pooler, b"");
         assert!(client.read_response().is_ready());
         client
     }
 
-    /// Connects, and writes `pipelined` straight after the startup message.
+    /// Connects, and writes `pipelined` directly after the startup message. Reads nothing.
     pub fn connect_with(pooler: &PoolerProcess, pipelined: &[u8]) -> Self {
         Self::start(TcpStream::connect(pooler.address).unwrap(), pipelined)
     }
 
-    /// Writes the startup message and a query to a connection.
+    /// Writes the startup message and a query to an open connection. Reads nothing.
     pub fn over(socket: TcpStream, statement: &str) -> Self {
         Self::start(socket, &query_bytes([statement]))
     }
@@ -79,6 +82,7 @@
         self.read_response()
     }
 
+    /// Reads messages up to ReadyForQuery, or to the end of the connection.
     pub fn read_response(&mut self) -> Response {
         let mut response = Response::default();
         while let Some((tag, body)) = self.stream.read_message() {
@@ -93,7 +97,7 @@
         response
     }
 
-    /// Reads the welcome; the body of its BackendKeyData.
+    /// Reads the startup response, and returns the body of its BackendKeyData.
     pub fn read_cancellation_key(&mut self) -> Vec<u8> {
         let mut key = Vec::new();
         while let Some((tag, body)) = self.stream.read_message() {
@@ -106,17 +110,17 @@
         key
     }
 
-    /// Ends its own side of the connection, and goes on listening.
+    /// Shuts down the write side of the connection; responses can still be read.
     pub fn half_close(&self) {
         self.stream.socket.shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Whether the pooler closes the connection now without a further message.
+    /// Waits for the next message; true if the pooler closes or resets the connection instead.
     pub fn is_closed(&mut self) -> bool {
         self.stream.read_message().is_none()
     }
 
-    /// The same, with an orderly end and not a reset.
+    /// Like [`Self::is_closed`], but false if the connection was reset.
     pub fn is_closed_in_order(&mut self) -> bool {
         self.is_closed() && !self.stream.was_reset
     }
--- a/crates/pooler/tests/support/configuration.rs
+++ b/crates/pooler/tests/support/configuration.rs
@@ -1,46 +1,48 @@
-//! The configuration that a test's pooler starts with.
+//! The platform's configuration of a pooler under test.
 
 use super::{FakeDiscovery, snapshot};
 use serde_json::{Value, json};
 use std::fmt;
 
-/// The generation of the endpoints that a configuration names.
+/// The discovery generation of the endpoint list in a configuration.
 const KNOWN_GENERATION: u64 = 41;
-const SOCKETS: usize = 1_024;
+/// The descriptors that the pooler may hold, unless a test sets another number.
+const DEFAULT_SOCKETS: usize = 1_024;
 
-/// A pooler's configuration file.
+/// The JSON document of a pooler's configuration file.
 #[derive(Clone)]
 pub struct PoolerConfig {
     json: Value,
 }
 
 impl PoolerConfig {
-    /// One with these endpoints known from the start.
+    /// A configuration with this discovery service, and with `known` as its endpoint list.
     pub fn new(discovery: &FakeDiscovery, known: Vec<Value>) -> Self {
         let json = json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
-            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": DEFAULT_SOCKETS},
             "peers": [], "known": snapshot(KNOWN_GENERATION, known), "settings": settings()});
         Self { json }
     }
 
-    /// The same with so many descriptors allowed.
+    /// Sets the number of descriptors that the pooler may hold.
     pub fn sockets(self, count: usize) -> Self {
         self.with("/limits/sockets", count)
     }
 
-    /// The same with another value at a JSON pointer.
+    /// Replaces the value at a JSON pointer, which must exist.
     pub fn with(mut self, pointer: &str, value: impl Into<Value>) -> Self {
         *self.json.pointer_mut(pointer).unwrap() = value.into();
         self
     }
 
-    /// The same with a further rule of the site.
+    /// Sets a key of the settings' `Rules`, which need not exist yet.
     pub fn with_rule(mut self, key: &str, value: impl Into<Value>) -> Self {
         self.json["settings"]["Rules"][key] = value.into();
         self
     }
 
-    /// The same with another value for this key of every request class.
+    /// Sets a key of every request class.
     pub fn with_every_class(mut self, key: &str, value: impl Into<Value>) -> Self {
         let value = value.into();
         for class in self.json["settings"]["Lanes"].as_array_mut().unwrap() {
--- a/crates/pooler/tests/support/fake_discovery.rs
+++ b/crates/pooler/tests/support/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery service whose watches a test feeds.
+//! A fake discovery service; tests send the updates of its watches.
 
 use super::{PATIENCE, listen};
 use serde_json::{Value, json};
@@ -7,12 +7,12 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// Each line is sent in two chunks, split inside it at this byte.
-const CHUNK_SPLIT: usize = 7;
+/// Each update is sent in two HTTP chunks, split within its first line: the first chunk has this many bytes.
+const FIRST_CHUNK_BYTES: usize = 7;
 
-/// A watch that the pooler has opened. It ends when it is dropped.
+/// A watch that the pooler has opened. Dropping it closes the connection.
 pub struct Watch {
-    /// The first line of its HTTP request.
+    /// The request line of the watch's HTTP request.
     pub request_line: String,
     updates: Sender<Option<Value>>,
 }
@@ -23,13 +23,13 @@
         self.updates.send(Some(update)).unwrap();
     }
 
-    /// Ends the response, and with it the connection.
+    /// Ends the HTTP response by closing the connection.
     pub fn end(&self) {
         self.updates.send(None).unwrap();
     }
 }
 
-/// A discovery service; the test sends the updates of its watches.
+/// A discovery service on a loopback port that accepts any number of watches.
 pub struct FakeDiscovery {
     pub address: SocketAddr,
     watches: Receiver<Watch>,
@@ -40,17 +40,17 @@
         Self::with_format(Value::to_string)
     }
 
-    /// One whose updates span several lines each, with an empty line between two of them.
+    /// A discovery service whose updates span several lines each, with an empty line after each of them.
     pub fn indented() -> Self {
         Self::with_format(|update| format!("{update:#}\n"))
     }
 
     fn with_format(format: fn(&Value) -> String) -> Self {
-        let (announce, watches) = channel();
+        let (watch_sender, watches) = channel();
         let address = listen(move |socket| {
             let Some(request_line) = read_request(&socket) else { return };
             let (updates, receiver) = channel();
-            announce.send(Watch { request_line, updates }).unwrap_or(());
+            watch_sender.send(Watch { request_line, updates }).unwrap_or(());
             std::thread::spawn(move || write_updates(socket, &receiver, format));
         });
         Self { address, watches }
@@ -61,41 +61,42 @@
         self.accept_watch_within(PATIENCE).unwrap()
     }
 
-    /// Waits so long for the next watch.
-    pub fn accept_watch_within(&self, time: Duration) -> Option<Watch> {
-        self.watches.recv_timeout(time).ok()
+    /// Waits up to `timeout` for the next watch.
+    pub fn accept_watch_within(&self, timeout: Duration) -> Option<Watch> {
+        self.watches.recv_timeout(timeout).ok()
     }
 
-    /// The watches opened so far and not yet accepted.
+    /// The watches that are open and have not been accepted yet. Does not wait.
     pub fn pending_watches(&self) -> Vec<Watch> {
         self.watches.try_iter().collect()
     }
 }
 
-/// Reads a request's head; its first line.
+/// Reads the head of an HTTP request, and returns the request line.
 fn read_request(socket: &TcpStream) -> Option<String> {
     let mut lines = BufReader::new(socket.try_clone().unwrap()).lines();
-    let first = lines.next()?.ok()?;
+    let request_line = lines.next()?.ok()?;
     while lines.next().is_some_and(|line| line.is_ok_and(|line| !line.is_empty())) {}
-    Some(first)
+    Some(request_line)
 }
 
+/// Writes a chunked HTTP response with these updates, until the watch is ended or dropped.
 fn write_updates(mut socket: TcpStream, updates: &Receiver<Option<Value>>, format: fn(&Value) -> String) {
     socket.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
     while let Ok(Some(update)) = updates.recv() {
         let line = format(&update) + "\n";
-        for chunk in [&line[..CHUNK_SPLIT], &line[CHUNK_SPLIT..]] {
+        for chunk in [&line[..FIRST_CHUNK_BYTES], &line[FIRST_CHUNK_BYTES..]] {
             let _ = socket.write_all(format!("{:x}\r\n{chunk}\r\n", chunk.len()).as_bytes());
         }
     }
 }
 
-/// An update that replaces all endpoints known before.
+/// An update with the whole endpoint list.
 pub fn snapshot(generation: u64, entries: Vec<Value>) -> Value {
     json!({"generation": generation, "reset": true, "instances": entries})
 }
 
-/// An update that changes the endpoints it names.
+/// An update with changed endpoints only.
 pub fn delta(generation: u64, entries: Vec<Value>) -> Value {
     json!({"generation": generation, "reset": false, "instances": entries})
 }
--- a/crates/pooler/tests/support/fake_server.rs
+++ b/crates/pooler/tests/support/fake_server.rs
@@ -1,4 +1,4 @@
-//! Fake PostgreSQL servers whose responses a test scripts.
+//! Fake PostgreSQL servers whose responses are defined by the test.
 
 use super::{ANY_POSITION_MS, Gate, MessageStream, listen};
 use pooler_proxy::protocol;
@@ -13,7 +13,7 @@
     Close,
 }
 
-/// A server that welcomes every connection and hands each statement to the test's script.
+/// A server that accepts every connection and calls the test's `respond` function for each statement.
 pub struct FakeServer {
     pub id: &'static str,
     pub address: SocketAddr,
@@ -21,7 +21,7 @@
 }
 
 impl FakeServer {
-    /// A server that answers each statement with `respond`, and empty queries by itself.
+    /// A server that calls `respond` for each statement but empty queries, which it answers itself.
     pub fn new(
         id: &'static str,
         respond: impl Fn(&mut MessageStream, &str) -> AfterStatement + Send + Sync + 'static,
@@ -29,7 +29,7 @@
         Self::with_accept_hook(id, || {}, respond)
     }
 
-    /// One that calls `on_accept` before it welcomes a connection.
+    /// Like [`Self::new`], with `on_accept` called before each startup response.
     pub fn with_accept_hook(
         id: &'static str,
         on_accept: impl Fn() + Send + Sync + 'static,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// One whose script gets the empty queries as well.
+    /// A server that calls `respond` for each statement, empty queries included.
     pub fn with_empty_queries(
         id: &'static str,
         respond: impl Fn(&mut MessageStream, &str) -> AfterStatement + Send + Sync + 'static,
@@ -52,7 +52,7 @@
         Self::start(id, || {}, respond)
     }
 
-    /// A server that answers everything with its own id, in this role.
+    /// A server in this role that answers statements with its own id, and health checks with a load report.
     pub fn answering(id: &'static str, role: &'static str) -> Self {
         Self::answering_after_accept_hook(id, role, || {})
     }
@@ -73,7 +73,7 @@
         })
     }
 
-    /// A server that answers every statement, health checks too, with this error.
+    /// A server in this role that answers all statements and health checks with this error.
     pub fn failing(id: &'static str, sql_state: &'static str, role: &'static str) -> Self {
         Self::new(id, move |stream, _| {
             stream.write_error(sql_state, role);
@@ -81,7 +81,7 @@
         })
     }
 
-    /// A replica that answers, with this value, once the gate is open.
+    /// A replica that answers statements and health checks with its own id, but only once the gate is open.
     pub fn with_gated_responses(id: &'static str) -> (Gate, Self) {
         let (gate, waiter) = Gate::new();
         let server = Self::new(id, move |stream, _| {
@@ -92,7 +92,7 @@
         (gate, server)
     }
 
-    /// A replica that welcomes nobody until the gate is open: connections to it come up late.
+    /// A replica that sends no startup response, so that no connect completes, until the gate is open.
     pub fn with_gated_accepts(id: &'static str) -> (Gate, Self) {
         let (gate, waiter) = Gate::new();
         let server = Self::answering_after_accept_hook(id, "replica", move || waiter.wait());
@@ -105,27 +105,27 @@
         respond: impl Fn(&mut MessageStream, &str) -> AfterStatement + Send + Sync + 'static,
     ) -> Self {
         let received = Arc::new(Mutex::new(Vec::new()));
-        let (log, on_accept, respond) = (received.clone(), Arc::new(on_accept), Arc::new(respond));
+        let (statements, on_accept, respond) = (received.clone(), Arc::new(on_accept), Arc::new(respond));
         let address = listen(move |socket| {
-            let (log, on_accept, respond) = (log.clone(), on_accept.clone(), respond.clone());
-            std::thread::spawn(move || serve(socket, &log, &*on_accept, &*respond));
+            let (statements, on_accept, respond) = (statements.clone(), on_accept.clone(), respond.clone());
+            std::thread::spawn(move || serve(socket, &statements, &*on_accept, &*respond));
         });
         Self { id, address, received }
     }
 
-    /// The statements received so far, without health checks.
+    /// The statements received so far, without health checks and empty queries.
     pub fn statements(&self) -> Vec<String> {
         self.received.lock().unwrap().clone()
     }
 
-    /// Waits until a first statement has arrived.
+    /// Waits until the server has received a statement.
     pub fn wait_for_statement(&self) {
         while self.statements().is_empty() {
             std::thread::yield_now();
         }
     }
 
-    /// Its entry in an endpoint update.
+    /// The server's entry in an endpoint update.
     pub fn entry(&self, lifecycle: &str, role: &str) -> Value {
         json!({"instanceId": self.id, "hostPort": self.address.to_string(), "zone": "adum",
                "machineType": "quad-std", "cell": 2, "lifecycle": lifecycle, "weight": 1.0,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Serves one connection until it ends or the script closes it.
+/// Serves one connection, until the pooler closes it or `respond` returns [`AfterStatement::Close`].
 fn serve(
     socket: TcpStream,
     received: &Mutex<Vec<String>>,
@@ -145,7 +145,7 @@
         return;
     }
     on_accept();
-    stream.write_welcome();
+    stream.write_startup_response();
     while let Some((b'Q', body)) = stream.read_message() {
         let statement = protocol::parse_query(&body).unwrap();
         if !statement.is_empty() && !statement.starts_with("SHOW") {
--- a/crates/pooler/tests/support/gate.rs
+++ b/crates/pooler/tests/support/gate.rs
@@ -1,9 +1,9 @@
-//! A gate that holds fake servers back until the test opens it.
+//! A gate that blocks fake servers until the test opens it.
 
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// Holds its waiters back until it is opened or dropped.
+/// Blocks its waiters until it is opened or dropped.
 pub struct Gate {
     _sender: Sender<()>,
 }
@@ -14,11 +14,11 @@
         (Self { _sender: sender }, GateWaiter { receiver: Mutex::new(receiver) })
     }
 
-    /// Lets everybody through, now and later.
+    /// Unblocks all present and future waiters.
     pub fn open(self) {}
 }
 
-/// The side of a [`Gate`] that waits.
+/// The waiting side of a [`Gate`].
 pub struct GateWaiter {
     receiver: Mutex<Receiver<()>>,
 }
--- a/crates/pooler/tests/support/message_stream.rs
+++ b/crates/pooler/tests/support/message_stream.rs
@@ -1,17 +1,18 @@
-//! One end of a connection that speaks PostgreSQL's messages.
+//! PostgreSQL messages over a socket, from the client's or the server's side.
 
 use super::PATIENCE;
 use pooler_proxy::protocol::{self, BackendKeyData, SqlState, write};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
+/// The most bytes that one read takes from the socket.
 const READ_SIZE: usize = 65_536;
 
-/// A stream of messages over a socket; reads and writes give up after [`PATIENCE`].
+/// A stream of messages over a socket; reads and writes time out after [`PATIENCE`].
 pub struct MessageStream {
     pub socket: TcpStream,
     unread: Vec<u8>,
-    /// Whether the other side reset the connection.
+    /// Whether a read failed because the other side had reset the connection.
     pub was_reset: bool,
 }
 
@@ -22,7 +23,7 @@
         Self { socket, unread: Vec::new(), was_reset: false }
     }
 
-    /// Reads more bytes; false at the end of the stream.
+    /// Reads more bytes; false once the other side has closed or reset the connection.
     fn read_more(&mut self) -> bool {
         let mut bytes = [0; READ_SIZE];
         match self.socket.read(&mut bytes) {
@@ -30,13 +31,13 @@
                 self.unread.extend_from_slice(&bytes[..count]);
                 count > 0
             }
-            // A read with a time limit is not resumed after a signal, such as the one of a stopped child.
+            // A signal interrupts a read with a timeout, for example SIGCHLD when a child is stopped.
             Err(error) if error.kind() == ErrorKind::Interrupted => self.read_more(),
             Err(error) if error.kind() == ErrorKind::ConnectionReset => {
                 self.was_reset = true;
                 false
             }
-            Err(error) => panic!("nothing arrived: {error}"),
+            Err(error) => panic!("reading from the socket failed: {error}"),
         }
     }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The tag and body of the next message; `None` once the other side has closed.
+    /// Reads the next message; returns its tag and body, or `None` once the other side has closed.
     pub fn read_message(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
             if let Some(message) = protocol::parse_frontend_message(&self.unread).unwrap() {
@@ -67,12 +68,13 @@
         }
     }
 
-    /// Writes bytes; a pooler that has closed the connection need not take them.
+    /// Writes bytes. Errors are ignored, since the pooler may have closed the connection.
     pub fn write_bytes(&mut self, bytes: &[u8]) {
         let _ = self.socket.write_all(bytes);
     }
 
-    /// Writes a response with one value, the server's role and its log position.
+    /// Writes a response with one row of one value, followed by the server's role and its log position in
+    /// Unix milliseconds.
     pub fn write_row(&mut self, value: &[u8], role: &str, position_ms: &str) {
         let mut out = Vec::new();
         push_message(&mut out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
@@ -88,7 +90,7 @@
         self.write_bytes(&out);
     }
 
-    /// Writes an error response with the server's role.
+    /// Writes an error response, followed by the server's role.
     pub fn write_error(&mut self, sql_state: &str, role: &str) {
         let mut out = Vec::new();
         write::error_response(
@@ -103,13 +105,14 @@
         self.write_bytes(&out);
     }
 
-    /// Answers a health check: the time that the data is of, and whether the server is the primary.
+    /// Answers a health check with a load report such as `x0=1767225600.1,x1=0`: the log position in Unix
+    /// seconds, and 1 for the primary or 0 for a replica.
     pub fn write_load_report(&mut self, report: &str, role: &str) {
         self.write_row(report.as_bytes(), role, super::ANY_POSITION_MS);
     }
 
-    /// Writes what a server sends once it has accepted a connection.
-    pub fn write_welcome(&mut self) {
+    /// Writes the response to a startup message, from AuthenticationOk to ReadyForQuery.
+    pub fn write_startup_response(&mut self) {
         let mut out = Vec::new();
         write::session_start(&mut out, BackendKeyData { process_id: 1, secret_key: 1 });
         self.write_bytes(&out);
@@ -123,7 +126,7 @@
         self.write_bytes(&out);
     }
 
-    /// Returns once the other side has closed.
+    /// Reads and discards bytes until the other side closes the connection.
     pub fn wait_until_closed(&mut self) {
         while self.read_more() {}
     }
--- a/crates/pooler/tests/support/mod.rs
+++ b/crates/pooler/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Fake peers on loopback sockets around the built pooler; tests import all of it.
+//! The built pooler as a process, with fake servers, fake discovery and clients on loopback sockets.
 //!
-//! Each test binary uses a part of it only.
+//! Tests import all of this module, but each test binary uses only a part of it, hence the `allow` below.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -26,10 +26,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// No step of a test takes this long; it only keeps a broken one from hanging.
+/// Timeout of each step, longer than any step takes: it only keeps a broken test from hanging.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// The log position that fake servers report where none matters, in Unix milliseconds.
+/// The log position that fake servers report if the test doesn't depend on it, in Unix milliseconds.
 pub const ANY_POSITION_MS: &str = "1767225600123";
 
 /// The time since the Unix epoch.
@@ -37,7 +37,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap()
 }
 
-/// Listens on a free loopback port and hands each accepted connection to `on_accept`, on a thread of its own.
+/// Listens on a free loopback port, and starts a thread that calls `on_accept` with each accepted connection.
 fn listen(mut on_accept: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/pooler/tests/support/pooler_process.rs
+++ b/crates/pooler/tests/support/pooler_process.rs
@@ -1,4 +1,4 @@
-//! The built pooler as a process.
+//! A pooler process under test, and the signals that tests send to it.
 
 use super::{FakeDiscovery, FakeServer, PATIENCE, PoolerConfig};
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
@@ -10,10 +10,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 
-/// How often [`PoolerProcess::counts`] looks.
-const COUNTER_POLLS: usize = 5_000;
+/// The number of counter reports that [`PoolerProcess::counts`] requests at most.
+const MAX_COUNTER_POLLS: usize = 5_000;
 
-/// The signals that tests send to a pooler.
+/// A signal that tests send to a pooler.
 #[derive(Clone, Copy)]
 pub enum Signal {
     Terminate,
@@ -25,7 +25,7 @@
 }
 
 impl Signal {
-    /// Its name as `kill` takes it.
+    /// The signal's name as an argument of `kill -s`.
     fn name(self) -> &'static str {
         match self {
             Self::Terminate => "TERM",
@@ -37,24 +37,25 @@
         }
     }
 
-    /// Sends it to a process; false if that could not be done.
+    /// Sends the signal to a process; false if that failed.
     pub fn send_to(self, process: u32) -> bool {
         let status = Command::new("kill").args(["-s", self.name(), &process.to_string()]).status();
         status.is_ok_and(|status| status.success())
     }
 }
 
-/// A running pooler; killed when dropped.
+/// A running pooler process; killed on drop.
 pub struct PoolerProcess {
     child: Child,
     pub address: SocketAddr,
     log: Receiver<String>,
     file: PathBuf,
-    /// Where the test does not speak for discovery, its watch stays open and silent.
+    /// Keeps the pooler's watch open, without updates, if the test has no discovery service of its own.
     _silent_discovery: Option<FakeDiscovery>,
 }
 
-/// Starts the pooler on a file that holds `config`: the built one, or the program that `POOLER_PROGRAM` names.
+/// Writes `config` to a new file and starts a pooler with it: the built program, or the one that
+/// `POOLER_PROGRAM` names. Returns the process and the file's path.
 pub fn spawn_pooler(config: &str) -> (Child, PathBuf) {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -66,17 +67,18 @@
 }
 
 impl PoolerProcess {
-    /// Starts one that knows this server as a replica, and no other.
+    /// Starts a pooler whose only endpoint is this server, as a replica.
     pub fn with_replica(server: &FakeServer) -> Self {
         Self::with_server(server, "replica", |config| config)
     }
 
-    /// Starts one that knows this server as the primary, and no other.
+    /// Starts a pooler whose only endpoint is this server, as the primary.
     pub fn with_primary(server: &FakeServer) -> Self {
         Self::with_server(server, "master", |config| config)
     }
 
-    /// Starts one that knows this server in this role, with the configuration changed so.
+    /// Starts a pooler whose only endpoint is this server in this role. `configure` may change the
+    /// configuration.
     pub fn with_server(
         server: &FakeServer,
         role: &str,
@@ -89,7 +91,7 @@
         pooler
     }
 
-    /// Starts one with this configuration, and waits until it listens.
+    /// Starts a pooler with this configuration, and waits until it listens.
     pub fn start(config: &PoolerConfig) -> Self {
         let (mut child, file) = spawn_pooler(&config.to_string());
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -101,8 +103,8 @@
                 }
             }
         });
-        let first = log.recv_timeout(PATIENCE).unwrap();
-        let address = first.rsplit(' ').next().unwrap().parse().unwrap();
+        let first_line = log.recv_timeout(PATIENCE).unwrap();
+        let address = first_line.rsplit(' ').next().unwrap().parse().unwrap();
         Self { child, address, log, file, _silent_discovery: None }
     }
 
@@ -114,24 +116,24 @@
         assert!(signal.send_to(self.id()));
     }
 
-    /// Tells it to end, and waits until it has begun to drain.
+    /// Sends SIGTERM, and waits until the pooler has begun to drain.
     pub fn begin_shutdown(&self) {
         self.signal(Signal::Terminate);
         self.wait_for_log("draining");
     }
 
-    /// Lets it open only so many descriptors beyond those that it has open.
+    /// Limits the process to `count` descriptors beyond those that are open now.
     pub fn limit_further_descriptors(&self, count: usize) {
         let open = std::fs::read_dir(format!("/proc/{}/fd", self.id())).unwrap();
         let open: BTreeSet<u64> =
             open.map(|file| file.unwrap().file_name().to_str().unwrap().parse().unwrap()).collect();
-        // The limit holds for the numbers of descriptors, the lowest free one of which is opened next.
+        // RLIMIT_NOFILE bounds descriptor numbers, not their count; a new one gets the lowest free number.
         let limit = (0..).filter(|number| !open.contains(number)).nth(count);
         let limit = Rlimit { current: limit, maximum: limit };
         prlimit(Some(Pid::from_child(&self.child)), Resource::Nofile, limit).unwrap();
     }
 
-    /// Stops the process while `meanwhile` happens, and for a while after.
+    /// Stops the process with SIGSTOP while `meanwhile` runs, and for 300 ms after it.
     pub fn while_stopped(&self, meanwhile: impl FnOnce()) {
         self.signal(Signal::Stop);
         meanwhile();
@@ -139,33 +141,33 @@
         self.signal(Signal::Continue);
     }
 
-    /// The log line with its counters so far.
+    /// Requests a counter report, and returns its log line.
     pub fn counters(&self) -> String {
         self.signal(Signal::ReportCounters);
         self.wait_for_log("counters")
     }
 
-    /// Waits until its counters hold this text.
+    /// Requests counter reports until one contains this text.
     pub fn wait_for_counter(&self, text: &str) {
         while !self.counters().contains(text) {}
     }
 
-    /// Waits until its counters hold this text; false if they never do.
+    /// Requests counter reports until one contains this text; false if [`MAX_COUNTER_POLLS`] reports don't.
     pub fn counts(&self, text: &str) -> bool {
-        self.counts_within(COUNTER_POLLS, text)
+        self.counts_within(MAX_COUNTER_POLLS, text)
     }
 
-    /// The same with so many looks.
+    /// Like [`Self::counts`], with at most `polls` reports.
     pub fn counts_within(&self, polls: usize, text: &str) -> bool {
         (0..polls).any(|_| self.counters().contains(text))
     }
 
-    /// Replaces its configuration file.
+    /// Overwrites the pooler's configuration file; the pooler reads it again on [`Signal::Reload`].
     pub fn write_configuration(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
     }
 
-    /// The next log line that holds this text.
+    /// Waits for the next log line that contains this text. Discards the lines before it.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self.log.recv_timeout(PATIENCE).unwrap();
@@ -175,12 +177,12 @@
         }
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 
-    /// How it ended, if it has.
+    /// The exit status, if the process has ended.
     pub fn try_wait(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
--- a/crates/pooler/tests/support/statements.rs
+++ b/crates/pooler/tests/support/statements.rs
@@ -1,11 +1,11 @@
-//! Statements as clients write them.
+//! Statements with their request comments, as clients write them.
 
 use pooler_proxy::protocol::write;
 
-/// The deadline in the statements below: 8 s.
+/// The deadline field in the comments of these statements: 8 s.
 pub const DEADLINE_FIELD: &str = "d=8000";
 
-/// So many bytes of requests that a client sends ahead: more than any buffer of the pooler reads.
+/// An amount of pipelined requests, in bytes, that exceeds every read buffer of the pooler.
 pub const FAR_AHEAD: usize = 600 * 1024;
 
 /// A read that any replica may serve.
@@ -13,7 +13,7 @@
     format!("SELECT content FROM kv WHERE name = 'm1' /* id={id},c=bundle-menu,{DEADLINE_FIELD},cluster=2 */")
 }
 
-/// A write that must not run twice.
+/// A write of the class `top-up`, which is not retryable: the write must not run twice.
 pub fn write_statement(id: &str) -> String {
     format!(
         "INSERT INTO kv (name, content) VALUES ('a1', '\\x9f03') RETURNING content \
@@ -21,12 +21,12 @@
     )
 }
 
-/// A statement of the above with another deadline.
+/// Replaces the deadline of a statement that a function of this module has built.
 pub fn with_deadline(statement: &str, milliseconds: u32) -> String {
     statement.replace(DEADLINE_FIELD, &format!("d={milliseconds}"))
 }
 
-/// Query messages with these statements, one after the other.
+/// The bytes of one Query message for each of these statements.
 pub fn query_bytes(statements: impl IntoIterator<Item = impl AsRef<str>>) -> Vec<u8> {
     let mut out = Vec::new();
     for statement in statements {
@@ -35,7 +35,7 @@
     out
 }
 
-/// A startup message, and straight after it `pipelined`.
+/// The bytes of a startup message, followed by `pipelined`.
 pub fn startup_bytes(pipelined: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     write::startup_message(&mut out, "backend", "store");
