--- a/crates/pooler/tests/sockets/client_disconnects.rs
+++ b/crates/pooler/tests/sockets/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while something is still owed to them.
+//! Clients that disconnect while they have requests without a response.
 
 use crate::support::*;
 use std::sync::Mutex;
@@ -6,13 +6,13 @@
 
 #[test]
 fn the_request_of_a_disconnected_client_is_aborted() {
-    let (closed, closings) = channel();
-    let closed = Mutex::new(closed);
+    let (closed_sender, closed_receiver) = channel();
+    let closed_sender = Mutex::new(closed_sender);
     let server = FakeServer::new("s-1", move |stream, statement| {
         if statement.contains("id=1,") {
-            // No response; the pooler closes this connection once its client has left.
+            // Sends no response; the pooler closes this connection once the client has disconnected.
             stream.wait_until_closed();
-            closed.lock().unwrap().send(()).unwrap();
+            closed_sender.lock().unwrap().send(()).unwrap();
             return AfterStatement::Close;
         }
         stream.write_row(b"s-1", "replica", ANY_POSITION_MS);
@@ -23,7 +23,7 @@
     client.send_query(&read_statement("1"));
     server.wait_for_statement();
     drop(client);
-    assert_eq!(closings.recv(), Ok(()));
+    assert_eq!(closed_receiver.recv(), Ok(()));
     let mut client = Client::connect(&pooler);
     assert_eq!(client.query(&read_statement("2")).text(), Some("s-1"));
     let counters = pooler.counters();
@@ -43,7 +43,8 @@
     drop(client);
     assert!(pooler.counts(" client_disconnects=1 "));
     gate.open();
-    // Served after it, on a connection of its own: by then the first has come up as well.
+    // The second request is served on a server connection of its own. By then the connect for the first
+    // request has completed as well.
     assert_eq!(Client::connect(&pooler).query(&read_statement("2")).text(), Some("s-1"));
     let statements = server.statements();
     assert!(statements.iter().all(|statement| statement.contains("id=2,")), "{statements:?}");
@@ -70,11 +71,16 @@
     assert!(pooler.counts(" client_disconnects=1 "));
     watch.send(delta(42, vec![primary.entry("up", "master")]));
     assert_eq!(Client::connect(&pooler).query(&write_statement("2")).text(), Some("s-2"));
-    assert_eq!(primary.statements().len(), 1, "only what is still asked: {:?}", primary.statements());
+    assert_eq!(
+        primary.statements().len(),
+        1,
+        "only the second write may be sent: {:?}",
+        primary.statements()
+    );
 }
 
 #[test]
-fn a_late_response_is_never_given_to_another_client() {
+fn a_late_response_is_never_sent_to_another_client() {
     let (gate, waiter) = Gate::new();
     let server = FakeServer::new("s-1", move |stream, statement| {
         if statement.contains("id=1,") {
@@ -99,50 +105,50 @@
 }
 
 #[test]
-fn a_disconnect_is_noticed_behind_pipelined_requests() {
+fn a_disconnect_after_pipelined_requests_is_detected() {
     let (gate, server) = FakeServer::with_gated_responses("s-1");
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
     client.send_query(&read_statement("1"));
     server.wait_for_statement();
-    let ahead = query_bytes((0..1_000).map(|id| read_statement(&format!("2-{id}"))));
-    assert!(ahead.len() > 64 * 1024);
-    client.stream.write_bytes(&ahead);
+    let pipelined = query_bytes((0..1_000).map(|id| read_statement(&format!("2-{id}"))));
+    assert!(pipelined.len() > 64 * 1024);
+    client.stream.write_bytes(&pipelined);
     drop(client);
-    // It is noticed while the first is still in flight, and what stands behind it goes with it.
-    assert!(pooler.counts_within(2_000, " client_disconnects=1 "), "it has disconnected");
+    // The disconnect is detected while the first request is in flight, and the requests after it are dropped.
+    assert!(pooler.counts_within(2_000, " client_disconnects=1 "), "the disconnect must be detected");
     gate.open();
     assert_eq!(Client::connect(&pooler).query(&read_statement("3")).text(), Some("s-1"));
-    assert_eq!(server.statements().len(), 2, "nothing more was begun for it");
+    assert_eq!(server.statements().len(), 2, "no pipelined request may be sent");
 }
 
 #[test]
-fn a_disconnect_is_noticed_behind_more_pipelined_bytes_than_are_read() {
+fn a_disconnect_after_more_pipelined_bytes_than_are_read_ahead_is_detected() {
     let (gate, server) = FakeServer::with_gated_responses("s-1");
     let pooler = PoolerProcess::with_replica(&server);
-    // More of them than may be read far ahead.
+    // More clients than may have a large read-ahead buffer.
     let mut clients: Vec<_> = (0..20).map(|_| Client::connect(&pooler)).collect();
-    for (at, client) in clients.iter_mut().enumerate() {
-        let mut ahead = Vec::new();
-        for turn in 0.. {
-            ahead.extend(query_bytes([read_statement(&format!("{at}-{turn}"))]));
-            if ahead.len() > FAR_AHEAD {
+    for (number, client) in clients.iter_mut().enumerate() {
+        let mut pipelined = Vec::new();
+        for request in 0.. {
+            pipelined.extend(query_bytes([read_statement(&format!("{number}-{request}"))]));
+            if pipelined.len() > FAR_AHEAD {
                 break;
             }
         }
-        client.stream.write_bytes(&ahead);
+        client.stream.write_bytes(&pipelined);
     }
     assert!(pooler.counts(" requests=20 "));
     drop(clients);
     assert!(
         pooler.counts(" client_disconnects=20 "),
-        "all are noticed while their first requests are in flight"
+        "all disconnects must be detected while the first requests are in flight"
     );
     gate.open();
     assert_eq!(Client::connect(&pooler).query(&read_statement("last")).text(), Some("s-1"));
-    let is_later = |statement: &String| !statement.contains("-0,") && !statement.contains("last");
-    let later: Vec<_> = server.statements().into_iter().filter(is_later).collect();
-    assert_eq!(later, [""; 0], "nothing is begun for a client that has left");
+    let is_pipelined = |statement: &String| !statement.contains("-0,") && !statement.contains("last");
+    let sent_later: Vec<_> = server.statements().into_iter().filter(is_pipelined).collect();
+    assert_eq!(sent_later, [""; 0], "no request may be sent for a disconnected client");
 }
 
 #[test]
@@ -160,20 +166,28 @@
         assert!(pooler.counts(" client_disconnects=1 "));
         assert_eq!(Client::connect(&pooler).query(&read_statement("next")).text(), Some("s-1"));
         let statements = server.statements();
-        assert!(statements.iter().all(|of| of.contains("id=next,")), "{round}: {statements:?}");
+        assert!(
+            statements.iter().all(|statement| statement.contains("id=next,")),
+            "round {round}: {statements:?}"
+        );
     }
 }
 
 #[test]
-fn a_client_that_half_closes_is_told_that_its_request_was_rejected() {
-    // A half-close looks like a close to the pooler, so nothing more is begun for it; but the client may listen.
+fn a_client_that_half_closes_receives_the_rejection_of_its_request() {
+    // The pooler cannot tell a half-close from a close, so it starts no attempt; but the client may still be
+    // reading.
     let (gate, server) = FakeServer::with_gated_accepts("s-1");
     let pooler = PoolerProcess::with_replica(&server);
     for statement in [read_statement("1"), write_statement("2")] {
         let mut client = Client::connect(&pooler);
         client.send_query(&statement);
         client.half_close();
-        assert_eq!(client.read_response().sql_state(), Some("53300"), "it was never sent to a server");
+        assert_eq!(
+            client.read_response().sql_state(),
+            Some("53300"),
+            "a request that was never sent must be rejected"
+        );
     }
     gate.open();
 }
--- a/crates/pooler/tests/sockets/configuration_errors.rs
+++ b/crates/pooler/tests/sockets/configuration_errors.rs
@@ -1,4 +1,4 @@
-//! A start with a configuration that cannot be used.
+//! Startup with a configuration that cannot be used.
 
 use crate::support::*;
 use serde_json::Value;
@@ -9,13 +9,15 @@
 
 #[test]
 fn an_unreadable_configuration_ends_startup_with_one_line() {
-    for (config, word) in [("{", "EOF"), (r#"{"listen":"x"}"#, "invalid socket address"), ("{}", "listen")] {
+    for (config, expected) in
+        [("{", "EOF"), (r#"{"listen":"x"}"#, "invalid socket address"), ("{}", "listen")]
+    {
         let (child, file) = spawn_pooler(config);
         let output = child.wait_with_output().unwrap();
         std::fs::remove_file(file).unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert_eq!((output.status.code(), error.lines().count()), (Some(EX_CONFIG), 1), "{error}");
-        assert!(error.contains(word), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
 
@@ -23,7 +25,7 @@
 fn an_invalid_setting_ends_startup_with_one_line_that_names_it() {
     let discovery = FakeDiscovery::new();
     let valid = PoolerConfig::new(&discovery, Vec::new());
-    for (place, value, word) in [
+    for (pointer, value, expected) in [
         ("/limits/sockets", Value::from(3), "limits.sockets"),
         ("/settings/FleetSize", (-5).into(), "FleetSize"),
         ("/settings/Lanes/0/Deadline", (-1.0).into(), "Lanes.0.Deadline"),
@@ -34,8 +36,8 @@
         ("/settings/Limits/DialTimeout", 1e300.into(), "Limits.DialTimeout"),
         ("/settings/Rules/Cold", (-100.0).into(), "Rules.Cold"),
     ] {
-        let (mut child, file) = spawn_pooler(&valid.clone().with(place, value).to_string());
-        // One that starts after all says where it listens, and would not end.
+        let (mut child, file) = spawn_pooler(&valid.clone().with(pointer, value).to_string());
+        // A pooler that starts nevertheless logs its address first, and would not exit by itself.
         let mut line = String::new();
         BufReader::new(child.stderr.take().unwrap()).read_line(&mut line).unwrap();
         let started = line.contains("listening");
@@ -44,7 +46,7 @@
         }
         let status = child.wait().unwrap();
         std::fs::remove_file(file).unwrap();
-        assert!(!started && line.contains(word), "{place}: {line}");
-        assert_eq!(status.code(), Some(EX_CONFIG), "{place}");
+        assert!(!started && line.contains(expected), "{pointer}: {line}");
+        assert_eq!(status.code(), Some(EX_CONFIG), "{pointer}");
     }
 }
--- a/crates/pooler/tests/sockets/deadlines.rs
+++ b/crates/pooler/tests/sockets/deadlines.rs
@@ -1,4 +1,4 @@
-//! The time that a client grants its request.
+//! Request deadlines.
 
 use crate::support::*;
 use std::time::Instant;
@@ -7,23 +7,31 @@
 fn the_deadline_of_a_pipelined_request_counts_from_its_arrival() {
     let (gate, server) = FakeServer::with_gated_responses("s-1");
     let pooler = PoolerProcess::with_replica(&server);
-    let brief = |id: &str| with_deadline(&read_statement(id), 300);
+    let short_read = |id: &str| with_deadline(&read_statement(id), 300);
     let (mut pipelining, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
-    pipelining.stream.write_bytes(&query_bytes([read_statement("1"), brief("2")]));
+    pipelining.stream.write_bytes(&query_bytes([read_statement("1"), short_read("2")]));
     server.wait_for_statement();
-    // Sent later and with the same deadline: once this one is over, so is the pipelined one.
-    assert_eq!(other.query(&brief("3")).sql_state(), Some("53300"));
+    // This request was sent later and has the same deadline: once that has passed, so has the pipelined
+    // request's.
+    assert_eq!(other.query(&short_read("3")).sql_state(), Some("53300"));
     gate.open();
     assert_eq!(pipelining.read_response().text(), Some("s-1"));
-    assert_eq!(pipelining.read_response().sql_state(), Some("53300"), "its client waits no longer");
-    assert!(!server.statements().iter().any(|statement| statement.contains("id=2,")), "it is not sent");
-    // And what has just arrived has all of its time.
+    assert_eq!(
+        pipelining.read_response().sql_state(),
+        Some("53300"),
+        "the pipelined request must be rejected: its deadline has passed"
+    );
+    assert!(
+        !server.statements().iter().any(|statement| statement.contains("id=2,")),
+        "the pipelined request must not be sent"
+    );
+    // A request that has just arrived has its whole deadline left.
     assert_eq!(pipelining.query(&read_statement("4")).text(), Some("s-1"));
 }
 
 #[test]
-fn an_attempt_passes_on_no_more_than_the_remaining_time() {
-    // The server welcomes nobody at first: the connection comes up late.
+fn an_attempt_passes_no_more_than_the_remaining_time_to_the_server() {
+    // The server completes no startup before the gate is open: the connect completes late.
     let (gate, waiter) = Gate::new();
     let server = FakeServer::with_accept_hook(
         "s-1",
@@ -37,17 +45,18 @@
     let (mut client, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send_query(&read_statement("1"));
     pooler.wait_for_counter(" server_connections_opened=1 ");
-    // Sent later, and over: at least 300 ms have gone by.
+    // This request was sent later, and its deadline has passed: the first one has been waiting for at least
+    // 300 ms.
     assert!(other.query(&with_deadline(&read_statement("2"), 300)).sql_state.is_some());
     gate.open();
     assert_eq!(client.read_response().text(), Some("s-1"));
-    let passed_on = server.statements().iter().find_map(|statement| {
+    let passed_ms = server.statements().iter().find_map(|statement| {
         let (_, rest) = statement.split_once("id=1,")?;
         rest.split_once(",d=")?.1.split_once(',')?.0.parse::<u64>().ok()
     });
     assert!(
-        passed_on.is_some_and(|passed_on| passed_on <= 7_700),
-        "{passed_on:?} of 8,000 ms, 300 of them gone"
+        passed_ms.is_some_and(|passed_ms| passed_ms <= 7_700),
+        "deadline passed to the server, in ms: {passed_ms:?}; at most 7,700 of 8,000 were left"
     );
 }
 
@@ -58,7 +67,7 @@
     let mut client = Client::connect(&pooler);
     for (id, statement) in [("1", read_statement("1")), ("2", write_statement("2"))] {
         let response = client.query(&with_deadline(&statement, 200));
-        // Nothing was written: it is harmless to come again, but not when the time to say so is over.
+        // Nothing was sent, so a retry is harmless (53300), unless the time for saying so is over (08007).
         let allowed = ["53300", "08007"];
         assert!(response.sql_state().is_some_and(|code| allowed.contains(&code)), "{id}: {response:?}");
     }
@@ -69,7 +78,7 @@
 }
 
 #[test]
-fn a_deadline_that_passed_while_the_process_was_stopped_sends_nothing() {
+fn a_request_whose_deadline_passed_while_the_process_was_stopped_is_not_sent() {
     for round in 0..5 {
         let (gate, server) = FakeServer::with_gated_accepts("s-1");
         let pooler = PoolerProcess::with_replica(&server);
@@ -80,7 +89,10 @@
         assert_eq!(client.read_response().sql_state(), Some("53300"));
         assert_eq!(client.query(&read_statement("next")).text(), Some("s-1"));
         let statements = server.statements();
-        assert!(statements.iter().all(|of| of.contains("id=next,")), "{round}: {statements:?}");
+        assert!(
+            statements.iter().all(|statement| statement.contains("id=next,")),
+            "round {round}: {statements:?}"
+        );
     }
 }
 
@@ -91,11 +103,11 @@
     let mut client = Client::connect(&pooler);
     for deadline in ["d=0", "d=1", "d=5", "d=0.5"] {
         for statement in [read_statement(deadline.trim_start_matches("d=")), write_statement("w")] {
-            let begun = Instant::now();
+            let sent_at = Instant::now();
             let statement = statement.replace("id=0.5", "id=half").replace(DEADLINE_FIELD, deadline);
             let response = client.query(&statement);
             assert!(response.is_ready() && response.tags != "Z", "{deadline}: {response:?}");
-            assert!(begun.elapsed().as_millis() < 500, "{deadline}: {:?}", begun.elapsed());
+            assert!(sent_at.elapsed().as_millis() < 500, "{deadline}: {:?}", sent_at.elapsed());
         }
     }
     assert_eq!(client.query(&read_statement("last")).text(), Some("s-1"));
--- a/crates/pooler/tests/sockets/discovery.rs
+++ b/crates/pooler/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! Watches of discovery, and what endpoint updates bind the pooler to.
+//! Discovery watches, and the effect of endpoint updates on routing.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
@@ -17,8 +17,13 @@
     let second = discovery.accept_watch();
     assert!(second.request_line.contains("since=57"), "{}", second.request_line);
     let mut client = Client::connect(&pooler);
-    assert_eq!(client.query(&read_statement("1")).text(), Some("s-9"), "and the update was taken in");
-    // A watch that says nothing at all is given up as well. An endpoint that moved is found where it listens now.
+    assert_eq!(
+        client.query(&read_statement("1")).text(),
+        Some("s-9"),
+        "the update sent before the end of the watch must be applied"
+    );
+    // The second watch sends nothing at all, so the pooler gives it up and opens a third one. That one
+    // reports that the endpoint has a new address.
     let watch = discovery.accept_watch();
     let moved = FakeServer::new("s-9", |stream, _| {
         stream.write_row(b"moved", "replica", ANY_POSITION_MS);
@@ -26,7 +31,7 @@
     });
     watch.send(delta(58, vec![moved.entry("up", "replica")]));
     let found = (0..100_000).any(|_| client.query(&read_statement("2")).text() == Some("moved"));
-    assert!(found, "connections to its old address are not used any more");
+    assert!(found, "requests must go to the new address");
 }
 
 #[test]
@@ -61,7 +66,7 @@
     let watch = discovery.accept_watch();
     let mut first = Client::connect(&pooler);
     first.send_query(&read_statement("1"));
-    // The update is taken in once a request reaches the endpoint that came with it.
+    // The update has been applied once a request reaches the endpoint that it adds.
     watch.send(delta(42, vec![slow.entry("draining", ""), other.entry("up", "")]));
     let mut waiting = Vec::new();
     while other.statements().is_empty() {
@@ -73,7 +78,7 @@
     }
     gate.open();
     assert_eq!(first.read_response().text(), Some("s-2"));
-    assert_eq!(slow.statements(), [""; 0], "its connections came up too late");
+    assert_eq!(slow.statements(), [""; 0], "no request may be sent once the endpoint drains");
 }
 
 #[test]
@@ -89,20 +94,20 @@
     watch.send(delta(43, removed));
     watch.end();
     let resumed = discovery.accept_watch().request_line;
-    assert!(resumed.contains("since=43"), "both are taken in: {resumed}");
+    assert!(resumed.contains("since=43"), "both updates must be applied: {resumed}");
     let mut client = Client::connect(&pooler);
-    for at in 0..20 {
-        let response = client.query(&read_statement(&at.to_string()));
-        assert_eq!(response.text(), Some("s-1"), "{at}: {response:?}");
+    for index in 0..20 {
+        let response = client.query(&read_statement(&index.to_string()));
+        assert_eq!(response.text(), Some("s-1"), "{index}: {response:?}");
     }
     assert_eq!(drained.statements(), [""; 0]);
 }
 
-/// Within this time after a watch fell silent the pooler must act on what the watch missed.
+/// The time after a watch fell silent within which the pooler must apply the updates that the watch missed.
 const SILENT_WATCH_LIMIT: Duration = Duration::from_secs(6);
 
 #[test]
-fn a_watch_that_falls_silent_twice_is_reopened_within_the_allowed_time() {
+fn a_watch_that_falls_silent_twice_in_a_row_is_reopened_within_the_limit() {
     let (server, draining) =
         (FakeServer::answering("s-1", "replica"), FakeServer::answering("s-2", "replica"));
     let discovery = FakeDiscovery::new();
@@ -111,18 +116,19 @@
     let first = discovery.accept_watch();
     first.send(delta(42, Vec::new()));
     let silent_since = Instant::now();
-    // The next is as silent, from its first byte on; the third sends updates.
+    // The second watch sends nothing at all; the third one sends an update.
     let second = discovery.accept_watch();
     let third = discovery.accept_watch();
     assert!(third.request_line.contains("since=42"), "{}", third.request_line);
     third.send(delta(43, vec![draining.entry("draining", "replica")]));
     assert!(silent_since.elapsed() < SILENT_WATCH_LIMIT, "{:?}", silent_since.elapsed());
     let mut client = Client::connect(&pooler);
-    // The update may cross the first of these, within the grace of a drain.
+    // The first request may go to the draining endpoint before the update is applied; the drain grace allows
+    // that.
     client.query(&read_statement("0"));
     let sent = draining.statements().len();
-    for at in 1..30 {
-        assert_eq!(client.query(&read_statement(&at.to_string())).text(), Some("s-1"));
+    for index in 1..30 {
+        assert_eq!(client.query(&read_statement(&index.to_string())).text(), Some("s-1"));
     }
     assert_eq!(draining.statements().len(), sent);
     drop((first, second));
@@ -135,17 +141,17 @@
     let pooler = PoolerProcess::start(&PoolerConfig::new(&discovery, vec![before.entry("up", "replica")]));
     let watch = discovery.accept_watch();
     let mut client = Client::connect(&pooler);
-    for at in 0..5 {
-        assert!(client.query(&read_statement(&at.to_string())).value.is_some());
+    for index in 0..5 {
+        assert!(client.query(&read_statement(&index.to_string())).value.is_some());
     }
     watch.send(delta(42, vec![after.entry("up", "replica")]));
     watch.end();
     let resumed = discovery.accept_watch().request_line;
-    assert!(resumed.contains("since=42"), "it is taken in: {resumed}");
+    assert!(resumed.contains("since=42"), "the update must be applied: {resumed}");
     let sent = before.statements().len();
-    for at in 5..15 {
-        assert!(client.query(&read_statement(&at.to_string())).value.is_some());
+    for index in 5..15 {
+        assert!(client.query(&read_statement(&index.to_string())).value.is_some());
     }
     let received = (before.statements().len(), after.statements().len());
-    assert_eq!(received, (sent, 10), "pooled connections to the old address are not used any more");
+    assert_eq!(received, (sent, 10), "pooled connections to the old address must not be used");
 }
--- a/crates/pooler/tests/sockets/freshness.rs
+++ b/crates/pooler/tests/sockets/freshness.rs
@@ -1,4 +1,4 @@
-//! How old the data may be that a read sees.
+//! Limits on the staleness of the data that a read returns.
 
 use crate::support::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,8 +6,8 @@
 
 #[test]
 fn staleness_is_checked_again_after_a_slow_connect() {
-    // A replica that closes behind each report: the read after it needs a connection of its own, and the second
-    // connection comes up late.
+    // The replica closes the connection after each load report, so the read needs a new one, and the second
+    // connect completes late.
     let (gate, waiter) = Gate::new();
     let accepted = AtomicUsize::new(0);
     let on_accept = move || {
@@ -38,10 +38,10 @@
     let (mut client, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send_query(&read_statement("1").replace("bundle-menu", "my-recent"));
     pooler.wait_for_counter(" attempts=1 ");
-    // Sent later, and over: the report is more than 300 ms old by now.
+    // This request was sent later, and its deadline has passed: the report is more than 300 ms old by now.
     assert!(other.query(&with_deadline(&read_statement("2"), 300)).sql_state.is_some());
     gate.open();
     assert_eq!(client.read_response().text(), Some("s-1"));
     let history = history.lock().unwrap();
-    assert_eq!(history[..], ["report", "report", "read"], "a newer report goes before the read");
+    assert_eq!(history[..], ["report", "report", "read"], "a new load report must precede the read");
 }
--- a/crates/pooler/tests/sockets/main.rs
+++ b/crates/pooler/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The pooler as a process on real sockets, against fake servers, fake discovery and scripted clients.
+//! Tests of the pooler as a process on loopback sockets, with fake servers, fake discovery services and
+//! scripted clients.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/pooler/tests/sockets/malformed_input.rs
+++ b/crates/pooler/tests/sockets/malformed_input.rs
@@ -1,10 +1,10 @@
-//! What clients send that makes no sense, or only half of it.
+//! Invalid and incomplete input from clients.
 
 use crate::support::*;
 use std::io::Write;
 use std::time::Instant;
 
-/// Statements that no server is asked, with the tags of their responses.
+/// Statements that the pooler answers without a server, with the tags of their responses.
 const ANSWERED_BY_THE_POOLER: [(&str, &str); 13] = [
     ("", "IZ"),
     (" ; ", "IZ"),
@@ -21,7 +21,7 @@
     ("SELECT 1 /* prose */", "EZ"),
 ];
 
-/// Messages that break the protocol.
+/// Messages that violate the protocol.
 const PROTOCOL_VIOLATIONS: [&[u8]; 4] =
     [b"Q\xff\xff\xff\xff", b"Q\0\0\0\0", b"Q\0\0\0\x06ab", b"\x01\0\0\0\x04"];
 
@@ -29,31 +29,33 @@
 fn malformed_input_is_rejected_and_affects_no_other_client() {
     let server = FakeServer::answering("s-1", "replica");
     let pooler = PoolerProcess::with_replica(&server);
-    // It has made a request: its connection may not be closed after 2 s, however long the others take.
+    // This client makes a request first, as connections without one may be closed after 2 s and the checks
+    // below may take longer.
     let mut other = Client::connect(&pooler);
     assert_eq!(other.query(&read_statement("0")).text(), Some("s-1"));
     for (statement, tags) in ANSWERED_BY_THE_POOLER {
         assert_eq!(Client::connect(&pooler).query(statement).tags, tags, "{statement}");
     }
-    // The extended protocol is rejected once, up to Sync.
+    // A series of messages of the extended query protocol is rejected with a single error, up to Sync.
     let mut client = Client::connect(&pooler);
     client.stream.write_bytes(b"P\0\0\0\x08\0\0\0\0B\0\0\0\x04S\0\0\0\x04");
     assert_eq!(client.read_response().tags, "EZ");
-    assert_eq!(client.query("").tags, "IZ", "the session goes on");
+    assert_eq!(client.query("").tags, "IZ", "the session must continue");
     for violation in PROTOCOL_VIOLATIONS {
         let mut client = Client::connect(&pooler);
         client.stream.write_bytes(violation);
         let response = client.read_response();
         assert_eq!((response.tags.as_str(), response.sql_state()), ("E", Some("08P01")), "{violation:?}");
     }
-    // The same again the moment it was rejected: a few errors, and then an end.
+    // A client that keeps sending statements that are rejected gets a few errors; then its connection is
+    // closed.
     let mut flood = Client::connect(&pooler);
     for _ in 0..20 {
         flood.send_query("SELECT now()");
     }
     let tags: Vec<String> = (0..8).map(|_| flood.read_response().tags).collect();
     assert_eq!((tags.concat().as_str(), flood.is_closed()), ("EZEZEZEZEZEZEZE", true));
-    // One that is still sending 60 MB can read what is wrong with them.
+    // A client receives the error even while it is still sending 60 MB.
     let mut huge = Client::connect(&pooler);
     let mut socket = huge.stream.socket.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
@@ -64,7 +66,7 @@
     assert_eq!((response.tags.as_str(), response.sql_state()), ("E", Some("08P01")));
     drop(huge);
     sender.join().unwrap();
-    assert_eq!(server.statements().len(), 1, "nothing but the other client's request");
+    assert_eq!(server.statements().len(), 1, "only the other client's request may be sent");
     assert_eq!(other.query(&read_statement("1")).text(), Some("s-1"));
 }
 
@@ -79,12 +81,12 @@
     gate.open();
     assert_eq!(owner.read_response().text(), Some("s-1"));
     assert_eq!(server.statements().len(), 1);
-    // It is free again once the response has gone out.
+    // The id may be used again once the response has been sent.
     assert_eq!(owner.query(&read_statement("7")).text(), Some("s-1"));
 }
 
 #[test]
-fn an_incomplete_command_at_end_of_stream_is_no_request() {
+fn an_incomplete_command_at_end_of_stream_is_not_forwarded() {
     let server = FakeServer::answering("s-1", "replica");
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
@@ -92,28 +94,31 @@
     let complete = bytes.len();
     bytes.extend(query_bytes([read_statement("2")]));
     client.stream.write_bytes(&bytes[..complete + 20]);
-    assert_eq!(client.read_response().text(), Some("s-1"), "the complete one is answered");
+    assert_eq!(client.read_response().text(), Some("s-1"), "the complete command must be answered");
     client.half_close();
     assert!(client.is_closed_in_order());
     assert_eq!(server.statements().len(), 1);
 }
 
 #[test]
-fn a_command_left_incomplete_is_rejected_when_its_connection_is_closed() {
+fn a_command_left_incomplete_is_rejected_within_3_seconds() {
     let server = FakeServer::answering("s-1", "replica");
     let pooler = PoolerProcess::with_replica(&server);
-    let mut half = query_bytes([read_statement("half")]);
-    half.truncate(half.len() / 2);
-    for asked_before in [false, true] {
+    let mut incomplete = query_bytes([read_statement("half")]);
+    incomplete.truncate(incomplete.len() / 2);
+    for is_established in [false, true] {
         let mut client = Client::connect(&pooler);
-        if asked_before {
+        if is_established {
             assert_eq!(client.query(&read_statement("1")).text(), Some("s-1"));
         }
-        client.stream.write_bytes(&half);
-        let begun = Instant::now();
+        client.stream.write_bytes(&incomplete);
+        let sent_at = Instant::now();
         let response = client.read_response();
-        assert_eq!(response.sql_state(), Some("57P03"), "{asked_before}: {response:?}");
-        assert!(begun.elapsed().as_millis() < 3_000, "within the time that is owed");
+        assert_eq!(response.sql_state(), Some("57P03"), "established {is_established}: {response:?}");
+        assert!(
+            sent_at.elapsed().as_millis() < 3_000,
+            "a command left incomplete must be rejected within 3 s"
+        );
     }
     assert!(server.statements().iter().all(|statement| !statement.contains("half")));
 }
--- a/crates/pooler/tests/sockets/proxying.rs
+++ b/crates/pooler/tests/sockets/proxying.rs
@@ -1,4 +1,4 @@
-//! What passes through the pooler, and in which order.
+//! Forwarding of statements and responses, and their order.
 
 use crate::support::*;
 use std::io::{Read, Write};
@@ -13,11 +13,11 @@
         AfterStatement::KeepOpen
     });
     let pooler = PoolerProcess::with_replica(&server);
-    // The first query comes straight after the startup message, as the load balancer's health check does.
+    // The first query follows the startup message without a wait, as in the load balancer's health check.
     let mut client = Client::connect_with(&pooler, b"Q\0\0\0\x05\0");
     assert_eq!(client.read_response().tags.chars().last(), Some('Z'));
-    assert_eq!(client.read_response().tags, "IZ", "ready");
-    // Two commands in one go are answered in their order.
+    assert_eq!(client.read_response().tags, "IZ", "response to the empty query");
+    // Two requests that are sent without a wait between them are answered in their order.
     client.send_query(&read_statement("11"));
     client.send_query(&read_statement("12"));
     for _ in 0..2 {
@@ -46,11 +46,11 @@
     let server = FakeServer::answering("s-1", "replica");
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
-    let both = query_bytes(["SET x = 1", "SET x = 1"]);
-    // A client that makes no request is closed after 2 s. Each second response held back until the first is
-    // acknowledged takes 40 ms, and the pairs twice that.
+    let pair = query_bytes(["SET x = 1", "SET x = 1"]);
+    // The pooler closes the connection of a client without a request after 2 s. If it held each second
+    // response back until the first is acknowledged, which takes 40 ms, the 100 pairs would take 4 s.
     for _ in 0..100 {
-        client.stream.write_bytes(&both);
+        client.stream.write_bytes(&pair);
         for _ in 0..2 {
             assert_eq!(client.read_response().tags, "CZ");
         }
@@ -67,11 +67,11 @@
         (&stream).write_all(&[byte]).unwrap();
     }
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    let (mut read, mut more) = (Vec::new(), [0; 1_024]);
-    while !read.windows(3).any(|three| three == b"s-1") {
-        let count = (&stream).read(&mut more).unwrap();
-        assert!(count > 0, "the response comes");
-        read.extend_from_slice(&more[..count]);
+    let (mut received, mut chunk) = (Vec::new(), [0; 1_024]);
+    while !received.windows(3).any(|window| window == b"s-1") {
+        let count = (&stream).read(&mut chunk).unwrap();
+        assert!(count > 0, "the connection must stay open until the response");
+        received.extend_from_slice(&chunk[..count]);
     }
     assert_eq!(server.statements().len(), 1);
 }
@@ -85,26 +85,26 @@
     });
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
-    let mut ahead = Vec::new();
+    let mut pipelined = Vec::new();
     let mut count = 0;
-    while ahead.len() <= FAR_AHEAD {
-        ahead.extend(query_bytes([read_statement(&count.to_string())]));
+    while pipelined.len() <= FAR_AHEAD {
+        pipelined.extend(query_bytes([read_statement(&count.to_string())]));
         count += 1;
     }
     let socket = client.stream.socket.try_clone().unwrap();
-    let writer = std::thread::spawn(move || (&socket).write_all(&ahead).unwrap());
+    let writer = std::thread::spawn(move || (&socket).write_all(&pipelined).unwrap());
     let mut served = 0;
-    for turn in 0..count {
+    for index in 0..count {
         let response = client.read_response();
         if let Some(value) = &response.value {
-            assert_eq!(value, turn.to_string().as_bytes(), "in order");
+            assert_eq!(value, index.to_string().as_bytes(), "responses must keep the order of the requests");
             served += 1;
         } else {
-            assert_eq!(response.sql_state(), Some("53300"), "{turn}: {response:?}");
+            assert_eq!(response.sql_state(), Some("53300"), "request {index}: {response:?}");
         }
     }
     writer.join().unwrap();
     assert!(served > 0);
-    // And it goes on as before.
+    // The connection stays usable.
     assert_eq!(client.query(&read_statement("last")).text(), Some("last"));
 }
--- a/crates/pooler/tests/sockets/reload.rs
+++ b/crates/pooler/tests/sockets/reload.rs
@@ -18,15 +18,16 @@
         pooler.signal(Signal::Reload);
         pooler.wait_for_log("configuration kept as it was: ");
     }
-    // The old address would stay silent for seconds yet; the new one is told the generation that is known.
+    // The old discovery service would stay silent for seconds more. The watch of the new one starts at the
+    // known generation.
     pooler.write_configuration(&PoolerConfig::new(&new, Vec::new()).to_string());
     pooler.signal(Signal::Reload);
     pooler.wait_for_log("configuration read again");
     let watch = new.accept_watch();
     assert!(watch.request_line.contains("since=41"), "{}", watch.request_line);
     gate.open();
-    assert_eq!(busy.read_response().text(), Some("s-1"), "the request in flight went on");
-    // The snapshot there replaces the endpoints known before, and deltas follow.
+    assert_eq!(busy.read_response().text(), Some("s-1"), "the request in flight must be served");
+    // The snapshot of the new service replaces the endpoints known before; a delta follows.
     watch.send(snapshot(7, vec![dropped.entry("up", "replica")]));
     watch.send(delta(8, vec![added.entry("up", "replica"), dropped.entry("draining", "")]));
     let mut client = Client::connect(&pooler);
@@ -35,7 +36,7 @@
     for _ in 0..20 {
         assert_eq!(client.query(&read_statement("3")).text(), Some("s-2"));
     }
-    assert_eq!(busy_server.statements().len(), before, "a removed endpoint gets nothing new");
+    assert_eq!(busy_server.statements().len(), before, "a removed endpoint must get no new request");
     assert!(pooler.counters().contains(" config_reloads=1 "));
     drop((busy, client));
     pooler.signal(Signal::Terminate);
@@ -43,29 +44,32 @@
 }
 
 #[test]
-fn rapid_reloads_end_at_the_last_configuration() {
+fn rapid_reloads_apply_the_last_configuration() {
     let server = FakeServer::answering("s-1", "replica");
     let discoveries = [FakeDiscovery::new(), FakeDiscovery::new(), FakeDiscovery::new()];
     let config =
         |discovery: &FakeDiscovery| PoolerConfig::new(discovery, vec![server.entry("up", "replica")]);
     let pooler = PoolerProcess::start(&config(&discoveries[0]));
     let _first = discoveries[0].accept_watch();
-    for turn in [1, 2, 0, 1, 2] {
-        pooler.write_configuration(&config(&discoveries[turn]).to_string());
+    for index in [1, 2, 0, 1, 2] {
+        pooler.write_configuration(&config(&discoveries[index]).to_string());
         pooler.signal(Signal::Reload);
     }
-    let begun = Instant::now();
+    let reloaded_at = Instant::now();
     let drained_after = loop {
         let watch = discoveries[2].accept_watch();
         watch.send(delta(42, vec![server.entry("draining", "replica")]));
         let mut client = Client::connect(&pooler);
-        let rejected = (0..50).any(|at| {
+        let rejected = (0..50).any(|id| {
             std::thread::sleep(Duration::from_millis(10));
-            client.query(&with_deadline(&read_statement(&at.to_string()), 50)).value.is_none()
+            client.query(&with_deadline(&read_statement(&id.to_string()), 50)).value.is_none()
         });
         if rejected {
-            break begun.elapsed();
+            break reloaded_at.elapsed();
         }
     };
-    assert!(drained_after.as_millis() < 4_000, "taken in within 4 s of the last signal: {drained_after:?}");
+    assert!(
+        drained_after.as_millis() < 4_000,
+        "the last configuration must be applied within 4 s of the last signal: {drained_after:?}"
+    );
 }
--- a/crates/pooler/tests/sockets/server_connections.rs
+++ b/crates/pooler/tests/sockets/server_connections.rs
@@ -1,4 +1,5 @@
-//! Connections to servers: kept, broken, silent, and what comes back on them.
+//! Connections to servers: reuse, broken and silent connections, connect timeouts, malformed and rejecting
+//! responses.
 
 use crate::support::*;
 use std::net::Shutdown;
@@ -8,19 +9,19 @@
 
 #[test]
 fn a_connection_closed_by_the_server_is_not_reused() {
-    let (closed, closings) = channel();
-    let closed = Mutex::new(closed);
+    let (closed_sender, closed_receiver) = channel();
+    let closed_sender = Mutex::new(closed_sender);
     let server = FakeServer::new("s-1", move |stream, _| {
         stream.write_row(b"s-1", "replica", ANY_POSITION_MS);
         stream.socket.shutdown(Shutdown::Both).unwrap();
-        closed.lock().unwrap().send(()).unwrap();
+        closed_sender.lock().unwrap().send(()).unwrap();
         AfterStatement::Close
     });
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
     for id in ["1", "2", "3"] {
         assert_eq!(client.query(&read_statement(id)).text(), Some("s-1"));
-        closings.recv().unwrap();
+        closed_receiver.recv().unwrap();
     }
     assert_eq!(server.statements().len(), 3);
     let counters = pooler.counters();
@@ -32,15 +33,16 @@
 
 #[test]
 fn a_broken_or_silent_pooled_connection_loses_no_request() {
-    // The server gives each connection up after one response, but only shows it when something more is written;
-    // or it does not even then.
-    let silent = AtomicBool::new(false);
+    // The server abandons each connection after one response, which the pooler can detect only by writing to
+    // it. On the empty query that validates the connection, the server alternately stays silent and closes
+    // the connection.
+    let was_silent = AtomicBool::new(false);
     let server = FakeServer::with_empty_queries("s-1", move |stream, statement| {
         if !statement.is_empty() {
             stream.write_row(b"done", "master", ANY_POSITION_MS);
             return AfterStatement::KeepOpen;
         }
-        if !silent.fetch_xor(true, Ordering::Relaxed) {
+        if !was_silent.fetch_xor(true, Ordering::Relaxed) {
             stream.wait_until_closed();
         }
         AfterStatement::Close
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn a_connect_timeout_proves_that_nothing_ran() {
+fn a_request_is_retried_after_a_connect_timeout_and_sent_once() {
     let (gate, waiter) = Gate::new();
     let first_waiter = Mutex::new(Some(waiter));
     let on_accept = move || {
@@ -83,7 +85,7 @@
     gate.open();
 }
 
-/// Responses that break the protocol, or end too early.
+/// Responses that violate the protocol or are incomplete.
 fn malformed_responses() -> Vec<Vec<u8>> {
     let column: &[u8] = b"T\0\0\0\x20\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
     let (row, tag): (&[u8], &[u8]) = (b"D\0\0\0\x0c\0\x01\0\0\0\x02ab", b"C\0\0\0\x0dSELECT 1\0");
@@ -104,16 +106,16 @@
 }
 
 #[test]
-fn a_malformed_response_is_never_passed_on() {
+fn a_malformed_response_is_never_forwarded() {
     let malformed = malformed_responses();
     let count = malformed.len();
-    let answered = AtomicUsize::new(0);
+    let next_id = AtomicUsize::new(0);
     let server = FakeServer::new("s-1", move |stream, statement| {
-        // The first attempt of each request gets a malformed response, while the connection stays open. The second
-        // brings more than belongs to it: a copy just behind.
+        // The first attempt of each request gets a malformed response, and the connection stays open. The
+        // second attempt gets a surplus copy of its response.
         let id = statement.split_once("id=").unwrap().1.split_once(',').unwrap().0;
         let id: usize = id.parse().unwrap();
-        if answered.fetch_max(id + 1, Ordering::Relaxed) <= id {
+        if next_id.fetch_max(id + 1, Ordering::Relaxed) <= id {
             stream.write_bytes(&malformed[id % count]);
         } else {
             let value = format!("value {id}");
@@ -130,7 +132,7 @@
         assert_eq!((response.tags.as_str(), response.text()), ("TDCZ", Some(expected.as_str())));
     }
     assert_eq!(server.statements().len(), 2 * count);
-    // What may have run and must not run twice has failed.
+    // A write that may have run fails, since it must not run twice.
     let response = client.query(&write_statement(&count.to_string()));
     assert_eq!((response.tags.as_str(), response.sql_state()), ("EZ", Some("08007")));
     assert_eq!(server.statements().len(), 2 * count + 1);
--- a/crates/pooler/tests/sockets/shutdown.rs
+++ b/crates/pooler/tests/sockets/shutdown.rs
@@ -1,33 +1,33 @@
-//! Graceful shutdown.
+//! Graceful shutdown on SIGTERM.
 
 use crate::support::*;
 use std::net::TcpStream;
 use std::time::Instant;
 
 #[test]
-fn a_request_that_crosses_a_close_causes_no_reset_and_is_not_forwarded() {
+fn a_request_sent_while_the_pooler_closes_the_connection_causes_no_reset_and_is_not_forwarded() {
     let server = FakeServer::answering("s-1", "replica");
     let mut pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
     assert_eq!(client.query(&read_statement("1")).text(), Some("s-1"));
     pooler.signal(Signal::Terminate);
-    assert!(client.is_closed(), "closed while it is idle");
-    // Its next request was on the way by then.
+    assert!(client.is_closed(), "an idle connection must be closed");
+    // Stands for a request that was on its way when the pooler closed the connection.
     client.send_query(&read_statement("2"));
     client.half_close();
     assert!(pooler.wait().success());
-    assert!(client.is_closed_in_order(), "an end, not a reset");
-    assert_eq!(server.statements().len(), 1, "and nothing that came after it is forwarded");
+    assert!(client.is_closed_in_order(), "the connection must not be reset");
+    assert_eq!(server.statements().len(), 1, "the request sent after the close must not be forwarded");
 }
 
 #[test]
 fn a_graceful_shutdown_answers_every_accepted_request() {
-    // Connections keep arriving for up to 0.4 s. A machine that stalls that long between two lines here tells
-    // nothing, and the test is played again.
+    // New connections arrive for up to 0.4 s after SIGTERM. If the machine stalls so long that the late
+    // client connects after that time, the attempt shows nothing and is repeated.
     while !shut_down_under_load() {}
 }
 
-/// False if the late client came too late.
+/// Shuts a pooler down that has clients; false if the late client connected too late for the checks.
 fn shut_down_under_load() -> bool {
     let (gate, server) = FakeServer::with_gated_responses("s-1");
     let mut pooler = PoolerProcess::with_replica(&server);
@@ -35,37 +35,40 @@
     busy.send_query(&read_statement("1"));
     let signalled = Instant::now();
     pooler.signal(Signal::Terminate);
-    // It still accepts a client that comes now.
+    // The pooler still accepts a client that connects now.
     let late = TcpStream::connect(pooler.address);
     if signalled.elapsed().as_millis() >= 400 {
         return false;
     }
-    let mut late = Client::over(late.expect("it accepts"), &read_statement("2"));
+    let mut late =
+        Client::over(late.expect("the pooler must still accept connections"), &read_statement("2"));
     gate.open();
-    assert!(late.read_response().is_ready(), "welcome");
+    assert!(late.read_response().is_ready(), "the startup of the late client must complete");
     for client in [&mut busy, &mut late] {
         assert_eq!(client.read_response().text(), Some("s-1"));
     }
-    // A client that keeps its connection is served on it, and closed only then: it has nowhere else to go.
-    let mut asked = 2;
-    let mut served = signalled.elapsed();
+    // A client uses no other pooler while it has a connection, so the pooler keeps the connection open and
+    // goes on serving the client.
+    let mut answered = 2;
+    let mut last_served = signalled.elapsed();
     while busy.query(&read_statement("3")).value.is_some() {
-        asked += 1;
-        served = signalled.elapsed();
+        answered += 1;
+        last_served = signalled.elapsed();
     }
-    assert!(served.as_millis() > 1_000, "closed after {served:?}");
+    assert!(last_served.as_millis() > 1_000, "last response {last_served:?} after SIGTERM");
     for client in [&mut idle, &mut late] {
-        assert!(client.is_closed(), "closed as well");
+        assert!(client.is_closed(), "the connections of the other clients must be closed");
     }
     assert!(pooler.wait().success());
     let counters = pooler.wait_for_log("counters");
-    let expected = [format!(" requests={asked} "), format!(" served={asked} ")];
-    assert!(expected.iter().all(|count| counters.contains(count)), "{asked} {counters}");
+    let expected = [format!(" requests={answered} "), format!(" served={answered} ")];
+    assert!(expected.iter().all(|count| counters.contains(count)), "{answered} answered: {counters}");
     assert!(TcpStream::connect(pooler.address).is_err());
     true
 }
 
-/// A pooler that was told to end while it connects to a server for a client's request; the gate lets it connect.
+/// A pooler that received SIGTERM while it connects to a server for a client's request. The connect completes
+/// once the gate is open.
 struct ShutdownDuringConnect {
     gate: Gate,
     server: FakeServer,
@@ -99,7 +102,7 @@
 #[test]
 fn a_shutdown_rejects_a_request_whose_connect_does_not_complete() {
     let ShutdownDuringConnect { gate, server, mut pooler, mut client } = ShutdownDuringConnect::begin();
-    // The connect completes too late: the client is answered before the process is killed, and may come again.
+    // The connect does not complete in time. The client is answered before the earliest kill, and may retry.
     assert_eq!(client.read_response().sql_state(), Some("53300"));
     assert!(client.is_closed_in_order());
     drop(client);
@@ -108,15 +111,15 @@
     assert!(server.statements().is_empty());
 }
 
-/// Sends requests until the connection ends; the number of those that a reset left unanswered.
-fn ask_until_closed(mut client: Client, name: usize) -> usize {
-    for turn in 0.. {
-        client.send_query(&read_statement(&format!("{name}-{turn}")));
+/// Sends requests until the connection ends; returns how many of them, 0 or 1, a reset left unanswered.
+fn query_until_closed(mut client: Client, client_number: usize) -> usize {
+    for request in 0.. {
+        client.send_query(&read_statement(&format!("{client_number}-{request}")));
         if client.read_response().tags.is_empty() {
             break;
         }
     }
-    // A close between two requests loses nothing, a reset does.
+    // A close between two requests loses none of them, but a reset does.
     usize::from(client.stream.was_reset)
 }
 
@@ -129,15 +132,16 @@
         });
         let clients: Vec<_> = (0..20).map(|_| Client::connect(&pooler)).collect();
         pooler.begin_shutdown();
-        // They go on asking for as long as their connections are open; whatever they are answered is a response.
-        let asking: Vec<_> = clients
+        // The clients send requests while their connections are open. Any response counts, rejections
+        // included.
+        let threads: Vec<_> = clients
             .into_iter()
             .enumerate()
-            .map(|(at, client)| std::thread::spawn(move || ask_until_closed(client, at)))
+            .map(|(index, client)| std::thread::spawn(move || query_until_closed(client, index)))
             .collect();
-        let unanswered: usize = asking.into_iter().map(|thread| thread.join().unwrap()).sum();
+        let unanswered: usize = threads.into_iter().map(|thread| thread.join().unwrap()).sum();
         assert!(pooler.wait().success());
         gate.open();
-        assert_eq!(unanswered, 0, "with deadlines of {deadline} ms");
+        assert_eq!(unanswered, 0, "no request may be lost with deadlines of {deadline} ms");
     }
 }
--- a/crates/pooler/tests/sockets/writes.rs
+++ b/crates/pooler/tests/sockets/writes.rs
@@ -1,11 +1,12 @@
-//! Writes: retried only on proof that they never ran, and queued while there is no primary.
+//! Writes are retried only on proof that they never ran, and queued while no primary is known.
 
 use crate::support::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 #[test]
 fn a_write_is_retried_only_on_proof_that_it_never_ran() {
-    // The one listed as primary is a replica by now; the true one takes the write and dies of the second.
+    // The server listed as the primary is a replica by now. The actual primary serves the first write, and
+    // closes the connection on the second one.
     let replica = FakeServer::failing("s-1", "25006", "replica");
     let primary = FakeServer::new("s-2", |stream, statement| {
         if statement.contains("id=2") {
@@ -20,17 +21,23 @@
     let mut client = Client::connect(&pooler);
     assert_eq!(client.query(&write_statement("1")).text(), Some("done"));
     assert_eq!((replica.statements().len(), primary.statements().len()), (1, 1));
-    // All of it was written when the connection broke: it may have run, and the client must not think otherwise.
+    // The connection broke after the whole statement was written: it may have run, and the response must not
+    // deny that.
     let response = client.query(&write_statement("2"));
     assert_eq!((response.tags.as_str(), response.sql_state()), ("EZ", Some("08007")));
-    assert_eq!((replica.statements().len(), primary.statements().len()), (1, 2), "not sent again");
-    // An operator who has to look it up finds it by the client's id.
+    assert_eq!(
+        (replica.statements().len(), primary.statements().len()),
+        (1, 2),
+        "a write in doubt must not be sent again"
+    );
+    // The log names the write in doubt by the client's request id, for the operator who looks it up.
     pooler.signal(Signal::ReportCounters);
     let in_doubt = pooler.wait_for_log("in doubt: ");
     assert!(in_doubt.contains("in doubt: 1 since the start; top-up id=2 at s-2, "), "{in_doubt}");
 }
 
-/// A server that rejects writes as a replica; with `promoted` it is the primary once a health check has come.
+/// A server that rejects writes as a replica; if `promoted`, it becomes the primary with its first health
+/// check.
 fn server_in_failover(id: &'static str, promoted: bool) -> FakeServer {
     let is_primary = AtomicBool::new(false);
     FakeServer::new(id, move |stream, statement| {
@@ -49,7 +56,7 @@
 
 #[test]
 fn a_write_is_queued_until_a_health_check_shows_the_primary() {
-    // Both reject the write; one has become the primary by the time of its health check.
+    // Both servers reject the write at first; one of them becomes the primary with its first health check.
     let (promoted, other) = (server_in_failover("s-2", true), server_in_failover("s-1", false));
     let discovery = FakeDiscovery::new();
     let entries = vec![other.entry("up", "master"), promoted.entry("up", "replica")];
@@ -57,12 +64,13 @@
     let mut client = Client::connect(&pooler);
     assert_eq!(client.query(&write_statement("1")).text(), Some("done"));
     let sent = (other.statements().len(), promoted.statements().len());
-    assert_eq!(sent, (1, 2), "once to each of the group, then straight to the primary");
+    assert_eq!(sent, (1, 2), "once to each server, then only to the primary");
 }
 
 #[test]
 fn only_the_documented_error_codes_prove_that_a_write_never_ran() {
-    // 57P03 is how a server rejects a connection or a health check; in response to a statement it proves nothing.
+    // With 57P03 a server rejects a connection or a health check; as the response to a statement it proves
+    // nothing.
     for code in ["XX000", "57P03", "57P01", "08006", "40001"] {
         let first = FakeServer::new("s-1", move |stream, statement| {
             if statement.starts_with("SHOW") {
@@ -78,6 +86,10 @@
         let pooler = PoolerProcess::start(&PoolerConfig::new(&discovery, entries));
         let response = Client::connect(&pooler).query(&write_statement("1"));
         assert_eq!(response.sql_state(), Some("08007"), "{code}: {response:?}");
-        assert_eq!(first.statements().len() + second.statements().len(), 1, "{code}: not sent again");
+        assert_eq!(
+            first.statements().len() + second.statements().len(),
+            1,
+            "{code}: the write must not be sent again"
+        );
     }
 }
