--- a/crates/pooler/tests/soak/faulty_server.rs
+++ b/crates/pooler/tests/soak/faulty_server.rs
@@ -1,14 +1,15 @@
-//! Servers that hang, break off and err now and then.
+//! Fake servers that occasionally hang, close a connection without a response, or return an error.
 
 use crate::history::{Execution, SharedHistory};
 use crate::random::SharedRandom;
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// How long a server that hangs says nothing.
-const HANG: Duration = Duration::from_secs(5);
+/// How long a server that hangs sends nothing before it closes the connection.
+const HANG_DURATION: Duration = Duration::from_secs(5);
 
-/// A server that answers most statements and fails a few, by chance.
+/// Starts a server that fails 1 statement in 40 at random, as `seed` determines; a replica rejects all
+/// writes.
 pub fn start(id: &'static str, is_primary: bool, seed: u64, history: &SharedHistory) -> FakeServer {
     let (random, history) = (SharedRandom::new(seed), history.clone());
     let role = if is_primary { "master" } else { "replica" };
@@ -19,26 +20,26 @@
             stream.write_row(report.as_bytes(), role, "");
             return AfterStatement::KeepOpen;
         }
-        let fate = random.below(200);
+        let fault_choice = random.below(200);
         let is_write = statement.starts_with("INSERT");
         let not_primary = is_write && !is_primary;
         let remaining_ms = comment_field(statement, ",d=").parse().unwrap();
         history.lock().unwrap().executions.push(Execution {
             id: comment_field(statement, "id=").to_owned(),
             server: id,
-            begun_at: Instant::now(),
+            received_at: Instant::now(),
             remaining_time: Duration::from_millis(remaining_ms),
             is_write,
-            ran: !not_primary && fate != 0,
+            took_effect: !not_primary && fault_choice != 0,
         });
         std::thread::sleep(Duration::from_millis(random.below(25)));
-        match fate {
+        match fault_choice {
             _ if not_primary => stream.write_error("25006", role),
             0 => stream.write_error("53300", role),
             1 => stream.write_error("XX000", role),
             2 => return AfterStatement::Close,
             3 | 4 => {
-                std::thread::sleep(HANG);
+                std::thread::sleep(HANG_DURATION);
                 return AfterStatement::Close;
             }
             _ => stream.write_row(b"value", role, &now.as_millis().to_string()),
@@ -47,8 +48,8 @@
     })
 }
 
-/// The value behind `name` in a statement's comment.
-fn comment_field<'s>(statement: &'s str, name: &str) -> &'s str {
-    let rest = statement.split(name).nth(1).unwrap_or("");
+/// Returns the value that follows `prefix` in a statement's comment, or an empty string if there is none.
+fn comment_field<'s>(statement: &'s str, prefix: &str) -> &'s str {
+    let rest = statement.split(prefix).nth(1).unwrap_or("");
     rest.split([',', ' ']).next().unwrap_or("")
 }
--- a/crates/pooler/tests/soak/main.rs
+++ b/crates/pooler/tests/soak/main.rs
@@ -1,9 +1,11 @@
-//! Clients that go on asking on open connections until the earliest SIGKILL, while servers hang, break off and drain,
-//! signals come in series and, on some seeds, many idle clients stay connected or the pooler is stopped again and
-//! again. Each run is checked against the rules of operation.
+//! A soak test. Clients keep sending requests on open connections until the earliest SIGKILL, while servers
+//! hang, close connections and drain, and the pooler receives signals in quick succession. On some seeds,
+//! many idle clients stay connected or the pooler is stopped (SIGSTOP) repeatedly. Each run is checked
+//! against the rules in [`history`] and [`load_client`].
 //!
-//! `SOAK_SEEDS=1-60` plays other seeds, `SOAK_SLACK_MS=40` grants the machine that runs it less time, and
-//! `SOAK_QUIET_S=60` has all clients rest for so long before the trouble begins.
+//! `SOAK_SEEDS=1-60` runs other seeds, `SOAK_SLACK_MS=40` allows for shorter delays of the machine that runs
+//! the test, and `SOAK_QUIET_S=60` has all clients send nothing for 60 s before the configuration is
+//! reloaded.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -19,14 +21,16 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-const SEEDS: &str = "1-10";
-/// Runs at the same time.
+/// The first and last seed, unless `SOAK_SEEDS` names others.
+const DEFAULT_SEEDS: &str = "1-10";
+/// The number of runs at the same time.
 const PARALLEL_RUNS: usize = 5;
-/// How much later than the rules say something may happen, for the machine that runs it.
-const SLACK_MS: u64 = 250;
+/// Added to the time limits of the rules for delays of the machine that runs the test, unless `SOAK_SLACK_MS`
+/// gives another value.
+const DEFAULT_SLACK_MS: u64 = 250;
 
-/// Plays all seeds from `first` to `last`, several at the same time.
-fn play_all(first: u64, last: u64, slack: Duration) -> Vec<Result<String, String>> {
+/// Runs all seeds from `first` to `last`, [`PARALLEL_RUNS`] at a time.
+fn run_seeds(first: u64, last: u64, slack: Duration) -> Vec<Result<String, String>> {
     let next = Arc::new(AtomicU64::new(first));
     let (done, outcomes) = channel();
     for _ in 0..PARALLEL_RUNS {
@@ -37,8 +41,8 @@
                 if seed > last {
                     return;
                 }
-                let outcome = std::panic::catch_unwind(|| run::play(seed, slack));
-                let outcome = outcome.unwrap_or_else(|_| Err(format!("seed {seed} could not be played")));
+                let outcome = std::panic::catch_unwind(|| run::run_seed(seed, slack));
+                let outcome = outcome.unwrap_or_else(|_| Err(format!("the run of seed {seed} panicked")));
                 done.send(outcome).unwrap();
             }
         });
@@ -48,12 +52,12 @@
 }
 
 #[test]
-fn clients_that_ask_until_the_kill_lose_no_request() {
-    let seeds = std::env::var("SOAK_SEEDS").unwrap_or(SEEDS.to_owned());
-    let (first, last) = seeds.split_once('-').expect("SOAK_SEEDS=first-last");
+fn no_request_is_lost_and_no_write_runs_twice_until_the_earliest_kill() {
+    let seeds = std::env::var("SOAK_SEEDS").unwrap_or(DEFAULT_SEEDS.to_owned());
+    let (first, last) = seeds.split_once('-').expect("SOAK_SEEDS must have the form first-last");
     let (first, last): (u64, u64) = (first.parse().unwrap(), last.parse().unwrap());
-    let slack = std::env::var("SOAK_SLACK_MS").map_or(SLACK_MS, |text| text.parse().unwrap());
-    let outcomes = play_all(first, last, Duration::from_millis(slack));
+    let slack = std::env::var("SOAK_SLACK_MS").map_or(DEFAULT_SLACK_MS, |text| text.parse().unwrap());
+    let outcomes = run_seeds(first, last, Duration::from_millis(slack));
     outcomes.iter().for_each(|outcome| println!("{outcome:?}"));
     assert_eq!(outcomes.len() as u64, last + 1 - first);
     let failures: Vec<_> = outcomes.into_iter().filter_map(Result::err).collect();
--- a/crates/pooler/tests/soak/random.rs
+++ b/crates/pooler/tests/soak/random.rs
@@ -1,8 +1,8 @@
-//! Random numbers that threads share.
+//! A random number generator that threads share.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// An xorshift generator.
+/// An xorshift generator; numbers may repeat if threads draw at the same time.
 pub struct SharedRandom {
     state: AtomicU64,
 }
@@ -12,7 +12,7 @@
         Self { state: AtomicU64::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1) }
     }
 
-    /// A number from 0 to below `bound`.
+    /// Returns a number from 0 to below `bound`.
     pub fn below(&self, bound: u64) -> u64 {
         let mut state = self.state.load(Ordering::Relaxed);
         state ^= state << 13;
--- a/crates/pooler/tests/soak/run.rs
+++ b/crates/pooler/tests/soak/run.rs
@@ -1,4 +1,5 @@
-//! One run of the soak: a fleet, its clients, and what happens to them.
+//! One run of the soak test: a pooler with its servers and clients, and the faults, reloads and signals that
+//! they go through.
 
 use crate::faulty_server;
 use crate::history::{DRAIN_GRACE, Drain, SharedHistory};
@@ -12,35 +13,44 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const CLIENTS: usize = 12;
+/// The number of clients that send requests.
+const ACTIVE_CLIENTS: usize = 12;
+/// The number of clients that stay connected without a request, in runs at the connection limit.
 const IDLE_CLIENTS: usize = 70;
-/// Descriptors that the pooler may hold, at the connection limit and elsewhere.
-const FEW_SOCKETS: usize = 128;
-const MANY_SOCKETS: usize = 640;
-/// Traffic before SIGTERM.
+/// The pooler's descriptor limit in runs at the connection limit.
+const SOCKETS_AT_CONNECTION_LIMIT: usize = 128;
+/// The pooler's descriptor limit in all other runs.
+const SOCKETS_BELOW_CONNECTION_LIMIT: usize = 640;
+/// How long clients send requests before SIGTERM, besides the quiet time and the reloads.
 const TRAFFIC_BEFORE_SHUTDOWN: Duration = Duration::from_millis(1_200);
-/// A series of new configurations has usually been taken up by then.
-const RELOADS_SETTLE: Duration = Duration::from_millis(300);
-/// The pooler watches discovery where it moved to no later than this after SIGHUP, from when on what discovery has to
-/// tell counts as told.
-const MOVE_LIMIT: Duration = Duration::from_secs(4);
-/// How often a watch is looked for.
+/// The pooler has usually applied a series of new configurations after this time.
+const RELOAD_SETTLE_TIME: Duration = Duration::from_millis(300);
+/// The time limit from SIGHUP until the pooler watches the new discovery service. From then on, an update
+/// that was sent counts as reported to the pooler.
+const WATCH_MOVE_LIMIT: Duration = Duration::from_secs(4);
+/// The interval at which new watches are looked for.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The process may be stopped for 0.15 s at any time; the commands that do so take 10 ms of that, measured.
-const STOPPED: Duration = Duration::from_millis(140);
-/// The least pause between two of these: one is not to become twice as long.
-const BETWEEN_STOPS_MS: u64 = 200;
-/// The endpoint whose drain is reported.
-const DRAINED: usize = 3;
-/// Seeds of servers that no other run has.
-const SEEDS_PER_RUN: u64 = 8;
+/// How long the process is stopped each time. It may be stopped for 0.15 s at any time, and the `kill`
+/// commands take 10 ms of that.
+const STOP_DURATION: Duration = Duration::from_millis(140);
+/// The shortest pause between two stops: without one, two stops could become a single one of twice the
+/// length.
+const MIN_STOP_PAUSE_MS: u64 = 200;
+/// The index in [`SERVERS`] of the endpoint whose drain is reported.
+const DRAINED_SERVER: usize = 3;
+/// The number of server seeds reserved for each run: no two runs use the same one.
+const SERVER_SEEDS_PER_RUN: u64 = 8;
+/// The ids of the servers, the primary first.
 const SERVERS: [&str; 4] = ["s-1", "s-2", "s-3", "s-4"];
 
-/// The kinds of trouble of a run, which its seed decides.
+/// The conditions of a run, which its seed determines.
 struct Plan {
     seed: u64,
+    /// The deadline of every request class.
     deadline_ms: u64,
+    /// Whether idle clients bring the pooler to its connection limit.
     at_connection_limit: bool,
+    /// Whether the pooler is stopped with SIGSTOP repeatedly.
     is_stopped_repeatedly: bool,
 }
 
@@ -54,12 +64,16 @@
         }
     }
 
-    /// The same fleet with each of the discovery services.
+    /// One configuration for each discovery service, all with the same endpoints.
     fn configurations(&self, discoveries: &[FakeDiscovery], servers: &[FakeServer]) -> Vec<PoolerConfig> {
-        let sockets = if self.at_connection_limit { FEW_SOCKETS } else { MANY_SOCKETS };
-        let role = |at: usize| if at == 0 { "master" } else { "replica" };
+        let sockets = if self.at_connection_limit {
+            SOCKETS_AT_CONNECTION_LIMIT
+        } else {
+            SOCKETS_BELOW_CONNECTION_LIMIT
+        };
+        let role = |index: usize| if index == 0 { "master" } else { "replica" };
         let entries: Vec<_> =
-            servers.iter().enumerate().map(|(at, server)| server.entry("up", role(at))).collect();
+            servers.iter().enumerate().map(|(index, server)| server.entry("up", role(index))).collect();
         let configuration = |discovery: &FakeDiscovery| {
             PoolerConfig::new(discovery, entries.clone())
                 .sockets(sockets)
@@ -72,79 +86,84 @@
     }
 }
 
-/// What runs beside the pooler until it is told to stop.
+/// The client threads of a run, and the thread that stops the pooler repeatedly.
 struct Load {
-    stop: Arc<AtomicBool>,
+    ended: Arc<AtomicBool>,
+    /// While set, no client sends anything.
     quiet: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
-    stopper: Option<JoinHandle<()>>,
+    /// Stops the pooler repeatedly.
+    stop_thread: Option<JoinHandle<()>>,
     idle: Vec<Client>,
 }
 
 impl Load {
     fn start(plan: &Plan, pooler: &PoolerProcess, slack: Duration, history: &SharedHistory) -> Self {
-        let stop = Arc::new(AtomicBool::new(false));
+        let ended = Arc::new(AtomicBool::new(false));
         let quiet = Arc::new(AtomicBool::new(false));
         let seed = plan.seed;
-        let client = |at: usize| LoadClient {
-            name: format!("c{seed}x{at}"),
+        let client = |index: usize| LoadClient {
+            name: format!("c{seed}x{index}"),
             address: pooler.address,
-            random: SharedRandom::new(seed * 100 + at as u64),
+            random: SharedRandom::new(seed * 100 + index as u64),
             deadline_ms: plan.deadline_ms,
             at_connection_limit: plan.at_connection_limit,
             slack,
-            stop: stop.clone(),
+            ended: ended.clone(),
             quiet: quiet.clone(),
             history: history.clone(),
             requests_sent: 0,
         };
         let spawn = |client: LoadClient| std::thread::spawn(move || client.run());
-        let clients = (0..CLIENTS).map(|at| spawn(client(at))).collect();
-        let stopper = plan.is_stopped_repeatedly.then(|| {
-            let (process, stop) = (pooler.id(), stop.clone());
-            std::thread::spawn(move || stop_repeatedly(process, seed, &stop))
+        let clients = (0..ACTIVE_CLIENTS).map(|index| spawn(client(index))).collect();
+        let stop_thread = plan.is_stopped_repeatedly.then(|| {
+            let (process, ended) = (pooler.id(), ended.clone());
+            std::thread::spawn(move || stop_repeatedly(process, seed, &ended))
         });
         let idle_count = if plan.at_connection_limit { IDLE_CLIENTS } else { 0 };
         let idle = (0..idle_count).map(|_| idle_client(pooler)).collect();
-        Self { stop, quiet, clients, stopper, idle }
+        Self { ended, quiet, clients, stop_thread, idle }
     }
 
-    /// Has all clients rest for as long as `SOAK_QUIET_S` says.
-    fn rest(&self) {
+    /// Has all clients send nothing for `SOAK_QUIET_S` seconds, by default 0.
+    fn keep_quiet(&self) {
         let seconds = std::env::var("SOAK_QUIET_S").map_or(0, |text| text.parse().unwrap());
         self.quiet.store(seconds > 0, Ordering::Relaxed);
         std::thread::sleep(Duration::from_secs(seconds));
         self.quiet.store(false, Ordering::Relaxed);
     }
 
-    /// Ends all of it; how many clients waited in vain.
+    /// Ends the load; returns the number of client threads that panicked, as they do when no response
+    /// arrives.
     fn end(self) -> usize {
-        self.stop.store(true, Ordering::Relaxed);
-        let _ = self.stopper.map(JoinHandle::join);
+        self.ended.store(true, Ordering::Relaxed);
+        let _ = self.stop_thread.map(JoinHandle::join);
         let panicked = self.clients.into_iter().filter_map(|client| client.join().err()).count();
         drop(self.idle);
         panicked
     }
 }
 
+/// Connects a client that sends an empty query and then stays idle.
 fn idle_client(pooler: &PoolerProcess) -> Client {
     let mut client = Client::connect_with(pooler, b"Q\0\0\0\x05\0");
     client.read_response();
     client
 }
 
-/// Stops a process for a moment, again and again.
-fn stop_repeatedly(process: u32, seed: u64, stop: &AtomicBool) {
+/// Stops and continues a process repeatedly, until `ended` is set.
+fn stop_repeatedly(process: u32, seed: u64, ended: &AtomicBool) {
     let random = SharedRandom::new(seed);
-    while !stop.load(Ordering::Relaxed) {
-        std::thread::sleep(Duration::from_millis(BETWEEN_STOPS_MS + random.below(200)));
+    while !ended.load(Ordering::Relaxed) {
+        std::thread::sleep(Duration::from_millis(MIN_STOP_PAUSE_MS + random.below(200)));
         Signal::Stop.send_to(process);
-        std::thread::sleep(STOPPED);
+        std::thread::sleep(STOP_DURATION);
         Signal::Continue.send_to(process);
     }
 }
 
-/// Reloads in series, each to the other discovery service; it ends at the second. When the last one was sent.
+/// Sends 1, 3 or 5 reloads, each to the other discovery service, the last to the second one; returns the time
+/// at which the last was sent.
 fn reload_in_series(
     pooler: &PoolerProcess,
     configurations: &[PoolerConfig],
@@ -152,18 +171,19 @@
 ) -> Instant {
     let texts: Vec<String> = configurations.iter().map(PoolerConfig::to_string).collect();
     let mut sent_at = Instant::now();
-    for turn in 1..=1 + random.below(3) as usize * 2 {
-        pooler.write_configuration(&texts[turn % 2]);
+    for number in 1..=1 + random.below(3) as usize * 2 {
+        pooler.write_configuration(&texts[number % 2]);
         sent_at = Instant::now();
         pooler.signal(Signal::Reload);
         pooler.signal(Signal::ReportCounters);
         std::thread::sleep(Duration::from_millis(random.below(40)));
     }
-    std::thread::sleep(RELOADS_SETTLE);
+    std::thread::sleep(RELOAD_SETTLE_TIME);
     sent_at
 }
 
-/// The watches that the pooler has opened at a discovery service, the first of them by `limit` at the latest.
+/// Waits, up to `limit`, until the pooler has opened a watch at a discovery service; returns all that it has
+/// opened.
 fn wait_for_watches(discovery: &FakeDiscovery, limit: Instant) -> Vec<Watch> {
     loop {
         let watches = discovery.pending_watches();
@@ -174,14 +194,16 @@
     }
 }
 
-/// Reports on the last watch that an endpoint drains. The watches must stay open for as long as the run.
-fn drain(watches: &[Watch], server: &FakeServer) -> Drain {
+/// Reports an endpoint as draining, in an update on the last watch. All watches must stay open until the run
+/// ends.
+fn report_drain(watches: &[Watch], server: &FakeServer) -> Drain {
     let change = delta(42, vec![server.entry("draining", "replica")]);
-    watches.last().expect("discovery is watched where it moved to").send(change);
+    watches.last().expect("the pooler watches the discovery service of the last reload").send(change);
     Drain { endpoint: server.id, reported_at: Instant::now() }
 }
 
-/// Tells the pooler to end, several times over, and waits until the earliest kill.
+/// Sends the pooler several termination signals and a reload, and kills it at the earliest time for SIGKILL;
+/// returns its exit status if it exited before.
 fn shut_down(pooler: &mut PoolerProcess, deadline_ms: u64, history: &SharedHistory) -> Option<ExitStatus> {
     let signalled = Instant::now();
     history.lock().unwrap().shutdown_at = Some(signalled);
@@ -198,31 +220,32 @@
     status
 }
 
-/// Plays the run of a seed; its figures, or what went wrong.
-pub fn play(seed: u64, slack: Duration) -> Result<String, String> {
+/// Runs one seed; returns the figures of the run, with the violations if it fails.
+pub fn run_seed(seed: u64, slack: Duration) -> Result<String, String> {
     let plan = Plan::new(seed);
     let random = SharedRandom::new(seed);
     let history = SharedHistory::default();
-    let server = |(at, id)| faulty_server::start(id, at == 0, seed * SEEDS_PER_RUN + at as u64, &history);
+    let server = |(i, id)| faulty_server::start(id, i == 0, seed * SERVER_SEEDS_PER_RUN + i as u64, &history);
     let servers: Vec<FakeServer> = SERVERS.into_iter().enumerate().map(server).collect();
     let discoveries = [FakeDiscovery::new(), FakeDiscovery::new()];
     let configurations = plan.configurations(&discoveries, &servers);
     let mut pooler = PoolerProcess::start(&configurations[0]);
     let load = Load::start(&plan, &pooler, slack, &history);
 
-    // Signals in series, while discovery moves; then a replica drains by an update from where it moved to.
+    // Reloads in quick succession move the watch to the second discovery service, which then reports that a
+    // replica drains.
     std::thread::sleep(TRAFFIC_BEFORE_SHUTDOWN / 2);
-    load.rest();
+    load.keep_quiet();
     let reloaded_at = reload_in_series(&pooler, &configurations, &random);
-    let watches = wait_for_watches(&discoveries[1], reloaded_at + MOVE_LIMIT);
-    let drain = drain(&watches, &servers[DRAINED]);
+    let watches = wait_for_watches(&discoveries[1], reloaded_at + WATCH_MOVE_LIMIT);
+    let drain = report_drain(&watches, &servers[DRAINED_SERVER]);
     std::thread::sleep(TRAFFIC_BEFORE_SHUTDOWN / 2);
     let status = shut_down(&mut pooler, plan.deadline_ms, &history);
     let panicked = load.end();
     report(&plan, &history, &drain, slack, status, panicked)
 }
 
-/// Checks the history, and sums the run up.
+/// Checks the history and summarizes the run in one line; an error if a rule was violated.
 fn report(
     plan: &Plan,
     history: &SharedHistory,
@@ -234,14 +257,14 @@
     let mut history = history.lock().unwrap();
     history.check_executions(drain, slack);
     if !status.is_some_and(|status| status.success()) {
-        history.violations.push(format!("the pooler ended with {status:?}"));
+        history.violations.push(format!("exit status of the pooler: {status:?}"));
     }
     if panicked > 0 {
-        history.violations.push(format!("{panicked} clients waited in vain"));
+        history.violations.push(format!("{panicked} client threads panicked"));
     }
     let figures = format!(
         "seed {}: deadline {} ms, at connection limit {}, stopped repeatedly {}: \
-         {} asked, {} answered, {} rejected, {} crossed a close, {} executed",
+         {} sent, {} answered, {} rejected, {} sent during a close, {} executed",
         plan.seed,
         plan.deadline_ms,
         plan.at_connection_limit,
@@ -249,7 +272,7 @@
         history.requests.len(),
         history.answered,
         history.rejected.len(),
-        history.crossed_a_close,
+        history.sent_during_close,
         history.executions.len()
     );
     if history.violations.is_empty() {
