--- a/crates/operator-config/src/decode.rs
+++ b/crates/operator-config/src/decode.rs
@@ -1,7 +1,7 @@
-//! The decoder: from an evaluated file to settings, with the checks that a schema can't express.
+//! The decoder: turns an evaluated file into settings, with the checks that a schema can't express.
 
 use crate::diagnostic::{Diagnostic, DiagnosticKind, Diagnostics, SettingError};
-use crate::export::Tree;
+use crate::export::ExportedValue;
 use crate::settings::{
     ClientIdentitySettings, FetchMode, LogSettings, MetadataKeys, NetworkSettings, OperatorConfig,
     RegistrationSettings, RegistrySettings, ServerSettings, UserSettings,
@@ -22,18 +22,18 @@
 
 const KILOBYTE: u64 = 1_024;
 const MEGABYTE: u64 = 1_024 * 1_024;
-const BODY_SIZES: RangeInclusive<u64> = 64 * KILOBYTE..=1_024 * MEGABYTE;
+const BODY_SIZE_RANGE: RangeInclusive<u64> = 64 * KILOBYTE..=1_024 * MEGABYTE;
 
 const MAX_SERVERS: usize = 16;
 const MAX_APPS: usize = 256;
 const MAX_NETWORKS: usize = 10_000;
 
-/// What stands for a loss that is never accepted.
-const NEVER: &str = "never";
-/// What stands for accepting that an override is taken back.
-const LIFTED_BY_OVERRIDE: &str = "override";
+/// The value of `registry.believe_after` with which a suspected loss is never accepted.
+const BELIEVE_NEVER: &str = "never";
+/// The value of `registry.lifts` with which the removal of an override ends a drain.
+const LIFTS_OVERRIDE: &str = "override";
 
-/// The file as its schema has it.
+/// An evaluated file, with the fields and types of its schema.
 #[derive(Deserialize)]
 struct RawFile {
     registry: Option<RawRegistry>,
@@ -84,26 +84,26 @@
     expires: String,
 }
 
-/// Decodes an evaluated file.
-pub(crate) fn decode(tree: &Tree) -> Result<OperatorConfig, Diagnostics> {
-    let raw: RawFile = serde_json::from_value(tree.value.clone())
+/// Decodes an evaluated file. All invalid settings are reported together.
+pub(crate) fn decode(exported: &ExportedValue) -> Result<OperatorConfig, Diagnostics> {
+    let raw: RawFile = serde_json::from_value(exported.json.clone())
         .map_err(|error| Diagnostic::of_file(DiagnosticKind::Undecodable(error)))?;
-    let mut decoder = Decoder { tree, diagnostics: Diagnostics::default() };
+    let mut decoder = Decoder { exported, diagnostics: Diagnostics::default() };
     let registry = raw.registry.map(|registry| decoder.registry(registry));
     decoder.diagnostics.into_result(OperatorConfig { registry, log: raw.log })
 }
 
-/// Decodes settings, and collects what is wrong with them.
-struct Decoder<'t> {
-    tree: &'t Tree,
+/// Decodes settings, and collects a diagnostic for each invalid one.
+struct Decoder<'e> {
+    exported: &'e ExportedValue,
     diagnostics: Diagnostics,
 }
 
 impl Decoder<'_> {
-    /// Records what is wrong with the setting at `path`.
-    fn error(&mut self, path: &str, error: impl Into<SettingError>) {
+    /// Adds a diagnostic for the setting at `path`.
+    fn report(&mut self, path: &str, error: impl Into<SettingError>) {
         let kind = DiagnosticKind::InvalidSetting { path: path.to_owned(), error: error.into() };
-        self.diagnostics.push(Diagnostic::new(self.tree.position(path), kind));
+        self.diagnostics.push(Diagnostic::new(self.exported.position(path), kind));
     }
 
     fn registry(&mut self, raw: RawRegistry) -> RegistrySettings {
@@ -124,7 +124,7 @@
             fetch_mode: raw.read,
             vip_address: raw.vip,
             max_missing_fraction: raw.lost_share,
-            accept_override_removal: raw.lifts == LIFTED_BY_OVERRIDE,
+            accept_override_removal: raw.lifts == LIFTS_OVERRIDE,
             metadata_keys: raw.metadata,
             primary_role: raw.primary,
             default_group: raw.group,
@@ -137,16 +137,16 @@
 
     fn check_count(&mut self, path: &str, count: usize, max: usize) {
         if count == 0 || count > max {
-            self.error(path, SettingError::WrongCount { count, max });
+            self.report(path, SettingError::WrongCount { count, max });
         }
     }
 
     fn check_fetch_mode(&mut self, raw: &RawRegistry) {
         if raw.read == FetchMode::App && raw.apps.len() > 1 {
-            self.error("registry.read", SettingError::SeveralApps);
+            self.report("registry.read", SettingError::MultipleApps);
         }
         if (raw.read == FetchMode::Vip) == raw.vip.is_empty() {
-            self.error("registry.vip", SettingError::VipWithoutVipMode);
+            self.report("registry.vip", SettingError::VipModeMismatch);
         }
     }
 
@@ -156,7 +156,7 @@
             let path = format!("registry.servers[{index}]");
             let address = server.at.and_then(|text| self.address(&format!("{path}.at"), &text));
             if servers.iter().any(|other| other.url == server.url) {
-                self.error(&format!("{path}.url"), SettingError::DuplicateUrl);
+                self.report(&format!("{path}.url"), SettingError::DuplicateUrl);
             }
             servers.push(ServerSettings { url: server.url, address });
         }
@@ -164,7 +164,7 @@
     }
 
     fn address(&mut self, path: &str, text: &str) -> Option<SocketAddr> {
-        text.parse::<SocketAddr>().map_err(|error| self.error(path, error)).ok()
+        text.parse::<SocketAddr>().map_err(|error| self.report(path, error)).ok()
     }
 
     fn networks(&mut self, raw: Vec<RawNetwork>) -> Vec<NetworkSettings> {
@@ -175,20 +175,20 @@
             let zone = Some(network.zone).filter(|zone| !zone.is_empty());
             match network.prefix.parse::<IpNet>() {
                 Ok(prefix) if prefix.trunc() != prefix => {
-                    self.error(&path, SettingError::HostBitsSet { network: prefix });
+                    self.report(&path, SettingError::HostBitsSet { network: prefix });
                 }
                 Ok(prefix) if !seen.insert(prefix) => {
-                    self.error(&path, SettingError::DuplicateNetwork { network: prefix });
+                    self.report(&path, SettingError::DuplicateNetwork { network: prefix });
                 }
                 Ok(prefix) => networks.push(NetworkSettings { prefix, zone }),
-                Err(error) => self.error(&path, error),
+                Err(error) => self.report(&path, error),
             }
         }
         networks
     }
 
     fn accept_loss_after(&mut self, text: &str) -> Option<Duration> {
-        if text == NEVER {
+        if text == BELIEVE_NEVER {
             return None;
         }
         Some(self.duration("registry.believe_after", text, SECOND..=30 * DAY))
@@ -198,14 +198,14 @@
         let renewal_interval = self.duration("registry.register.renew", &raw.renew, SECOND..=HOUR);
         let lease_duration = self.duration("registry.register.expires", &raw.expires, SECOND..=DAY);
         if lease_duration < renewal_interval * 2 {
-            self.error("registry.register.expires", SettingError::LeaseTooShort);
+            self.report("registry.register.expires", SettingError::LeaseTooShort);
         }
         RegistrationSettings { app: raw.app, id: raw.id, renewal_interval, lease_duration }
     }
 
-    /// A duration whose form the schema has checked.
+    /// Decodes a duration, which the schema has checked to be digits and a unit; `range` includes its limits.
     fn duration(&mut self, path: &str, text: &str, range: RangeInclusive<Duration>) -> Duration {
-        let unit_start = text.find(|letter: char| !letter.is_ascii_digit()).unwrap_or(text.len());
+        let unit_start = text.find(|character: char| !character.is_ascii_digit()).unwrap_or(text.len());
         let (number, unit) = text.split_at(unit_start);
         let number: u64 = number.parse().unwrap_or(0);
         let milliseconds = match unit {
@@ -217,18 +217,18 @@
         let duration = Duration::from_millis(milliseconds);
         if !range.contains(&duration) {
             let (min, max) = range.into_inner();
-            self.error(path, SettingError::DurationOutOfRange { text: text.to_owned(), min, max });
+            self.report(path, SettingError::DurationOutOfRange { text: text.to_owned(), min, max });
         }
         duration
     }
 
-    /// An amount of memory whose form the schema has checked.
+    /// Decodes a size, which the schema has checked to be digits and KB or MB, to bytes.
     fn body_size(&mut self, path: &str, text: &str) -> u64 {
         let (number, unit) = text.split_at(text.len() - "KB".len());
         let unit_bytes = if unit == "KB" { KILOBYTE } else { MEGABYTE };
         let bytes = number.parse::<u64>().unwrap_or(0) * unit_bytes;
-        if !BODY_SIZES.contains(&bytes) {
-            self.error(path, SettingError::SizeOutOfRange);
+        if !BODY_SIZE_RANGE.contains(&bytes) {
+            self.report(path, SettingError::SizeOutOfRange);
         }
         bytes
     }
--- a/crates/operator-config/src/diagnostic.rs
+++ b/crates/operator-config/src/diagnostic.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a file, and where.
+//! Diagnostics: the errors in a file, each with its position and a message for the operator.
 
 use crate::suggestion::Suggestion;
 use ipnet::IpNet;
 use std::fmt;
 use std::time::Duration;
 
-/// A position in a file; line 0 is the file as a whole.
+/// A position in a file, or the file as a whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// From 1.
+    /// The line, counted from 1; 0 stands for the file as a whole.
     pub line: usize,
-    /// From 1, in characters.
+    /// The column in characters, counted from 1; 0 stands for the file as a whole.
     pub column: usize,
 }
 
 impl Position {
-    /// The file as a whole.
+    /// The file as a whole, which also stands for positions in the schema.
     pub const WHOLE_FILE: Self = Self { line: 0, column: 0 };
 
-    /// This position, or the other one if this is the whole file.
+    /// This position, or `other` if this one is the whole file.
     pub(crate) fn or(self, other: Self) -> Self {
         if self.is_whole_file() { other } else { self }
     }
@@ -28,12 +28,12 @@
     }
 }
 
-/// Something that is wrong.
+/// An error in a file.
 #[derive(Debug)]
 pub struct Diagnostic {
-    /// Where.
+    /// The position of the construct that is wrong.
     pub position: Position,
-    /// What.
+    /// The error, whose `Display` is the message.
     pub kind: DiagnosticKind,
 }
 
@@ -42,200 +42,200 @@
         Self { position, kind }
     }
 
-    /// A diagnostic of the file as a whole.
+    /// A diagnostic for the file as a whole.
     pub(crate) fn of_file(kind: DiagnosticKind) -> Self {
         Self::new(Position::WHOLE_FILE, kind)
     }
 }
 
-/// What is wrong.
+/// The kind of an error in a file. Messages are printed after the file's name, line and column.
 #[derive(Debug, thiserror::Error)]
 pub enum DiagnosticKind {
     /// The file can't be read.
-    #[error("{0}")]
+    #[error("cannot read the file: {0}")]
     Io(#[source] std::io::Error),
-    /// The file is too long.
-    #[error("longer than {max_bytes} bytes")]
+    /// The file exceeds the maximum size.
+    #[error("the file is longer than {max_bytes} bytes, the maximum")]
     FileTooLong {
-        /// The limit.
+        /// The maximum size in bytes.
         max_bytes: usize,
     },
-    /// The file is no text.
-    #[error("no UTF-8: {0}")]
+    /// The file is not UTF-8 text.
+    #[error("the file is not valid UTF-8: {0}")]
     NotUtf8(#[source] std::str::Utf8Error),
-    /// The program's own schema is wrong.
-    #[error("the schema: {0}")]
+    /// The schema that is part of the program can't be parsed: an error in the program, not in the file.
+    #[error("internal error in the program's schema: {0}")]
     InvalidSchema(Box<DiagnosticKind>),
     /// Brackets are nested too deeply.
-    #[error("nested more than {max_depth} deep")]
+    #[error("brackets are nested more than {max_depth} levels deep")]
     NestedTooDeeply {
-        /// The limit.
+        /// The maximum depth.
         max_depth: usize,
     },
-    /// Something else was expected by the grammar.
-    #[error("expected {}", .0.join(" or "))]
+    /// The text does not follow the grammar; the field lists what the grammar allows at the position.
+    #[error("syntax error: expected {}", .0.join(" or "))]
     Expected(Vec<&'static str>),
-    /// The grammar matched a construct that lacks a part.
-    #[error("{construct}")]
+    /// A construct that the grammar accepted lacks a part.
+    #[error("syntax error: {construct}")]
     Incomplete {
-        /// The construct.
+        /// The construct and the part that it lacks.
         construct: &'static str,
     },
-    /// A number that is too large.
-    #[error("'{0}' is no number that fits")]
+    /// A number that a signed 64-bit integer can't hold.
+    #[error("number '{0}' is out of range: it does not fit in a signed 64-bit integer")]
     NumberOutOfRange(String),
-    /// A definition that exists already.
-    #[error("'{0}' is defined already")]
+    /// A definition or hidden field whose name is already used by another one.
+    #[error("'{0}' is already defined in this file or in the schema")]
     DuplicateDefinition(String),
     /// A definition or hidden field within a record.
-    #[error("definitions and hidden fields stand at the top of the file")]
+    #[error("definitions (#name) and hidden fields (_name) are only allowed at the top level of the file")]
     NestedDefinition,
-    /// A field that stands twice in a record.
-    #[error("'{0}' stands here twice")]
+    /// A field that occurs more than once in a record.
+    #[error("field '{0}' occurs more than once in this record")]
     DuplicateField(String),
-    /// References go too deep, as in a definition that refers to itself.
-    #[error("it refers to itself, or is nested too deeply")]
+    /// Expressions and references are nested too deeply, as in a definition that refers to itself.
+    #[error("the value refers to itself, or its references and records are nested too deeply")]
     RecursionTooDeep,
-    /// A pattern that is no regular expression.
-    #[error("the pattern {pattern:?}: {error}")]
+    /// A pattern that is not a valid regular expression.
+    #[error("pattern {pattern:?} is not a valid regular expression: {error}")]
     InvalidPattern {
-        /// The pattern.
+        /// The pattern as it is written.
         pattern: String,
-        /// What is wrong with it.
+        /// Why the pattern is invalid.
         error: regex_lite::Error,
     },
-    /// A bound whose limit is no plain value.
-    #[error("a bound needs a plain value")]
+    /// A bound whose limit has the wrong type for its operator.
+    #[error("invalid bound: =~ needs a pattern in quotes, other operators a number or text in quotes")]
     InvalidBound,
     /// A reference to a definition that does not exist.
     #[error("'{name}' is not defined{suggestion}")]
     UndefinedReference {
-        /// The name.
+        /// The name of the definition or hidden field.
         name: String,
-        /// A name that may be meant.
+        /// A defined name that may be meant.
         suggestion: Suggestion,
     },
-    /// A value that does not fit what the schema or another part of the file expects.
-    #[error("{given} does not fit {expected}")]
+    /// A value that conflicts with the schema or with another part of the file.
+    #[error("expected {expected}, found {given}")]
     Mismatch {
-        /// The value.
+        /// A description of the value.
         given: String,
-        /// What was expected.
+        /// A description of the values that are accepted.
         expected: String,
     },
-    /// Too many alternatives are possible at once.
-    #[error("more than {max_alternatives} alternatives")]
+    /// Too many alternatives of a disjunction remain possible.
+    #[error("the value has more than {max_alternatives} possible alternatives")]
     TooManyAlternatives {
-        /// The limit.
+        /// The maximum number of alternatives.
         max_alternatives: usize,
     },
-    /// A field that the schema does not have.
-    #[error("there is no field '{name}' here{suggestion}")]
+    /// A field that a closed record does not define.
+    #[error("unknown field '{name}'{suggestion}")]
     UnknownField {
-        /// The name.
+        /// The name of the field.
         name: String,
-        /// A name that may be meant.
+        /// The name of a defined field that may be meant.
         suggestion: Suggestion,
     },
-    /// Something is wrong with the value of a field.
+    /// An error in the value of a field.
     #[error("'{name}': {kind}")]
     InField {
-        /// The field.
+        /// The name of the field.
         name: String,
-        /// What is wrong.
+        /// The error in the value.
         kind: Box<DiagnosticKind>,
     },
-    /// A field without a value and without a default.
-    #[error("'{path}' needs a value: {expected}")]
+    /// A field without a concrete value and without a single default.
+    #[error("'{path}' has no concrete value: expected {expected}")]
     MissingValue {
         /// The field's path.
         path: String,
-        /// What was expected.
+        /// A description of the values that are accepted.
         expected: String,
     },
     /// A required field that is missing.
-    #[error("'{path}' is missing")]
+    #[error("required field '{path}' is missing")]
     MissingField {
         /// The field's path.
         path: String,
     },
-    /// The unified file does not decode to settings: the program's schema and settings disagree.
-    #[error("{0}")]
+    /// The file fits the schema but can't be decoded: the program's schema and settings types disagree.
+    #[error("internal error: the file fits the schema but can't be decoded: {0}")]
     Undecodable(#[source] serde_json::Error),
-    /// A setting fits the schema and can't be used.
+    /// A setting that fits the schema but can't be used.
     #[error("'{path}': {error}")]
     InvalidSetting {
         /// The setting's path.
         path: String,
-        /// What is wrong.
+        /// Why the setting can't be used.
         error: SettingError,
     },
 }
 
 impl DiagnosticKind {
-    /// Whether the message names the field that it is about.
+    /// Whether the message can be understood without the name of the field in front of it.
     pub(crate) fn names_field(&self) -> bool {
         !matches!(self, Self::Mismatch { .. } | Self::TooManyAlternatives { .. })
     }
 }
 
-/// Why a setting that fits the schema can't be used.
+/// Why a setting that fits the schema can't be used. Messages are printed after the path of the setting.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingError {
-    /// A duration out of range.
-    #[error("{text} is not between {min:?} and {max:?}")]
+    /// A duration that is out of range.
+    #[error("{text} is out of range: expected {min:?} to {max:?}")]
     DurationOutOfRange {
         /// The duration as it is written.
         text: String,
-        /// The shortest that is accepted.
+        /// The shortest accepted duration.
         min: Duration,
-        /// The longest that is accepted.
+        /// The longest accepted duration.
         max: Duration,
     },
-    /// Too few or too many items.
-    #[error("{count} are named, and 1 to {max} can be")]
+    /// A list with too few or too many items.
+    #[error("the list has {count} items: expected 1 to {max}")]
     WrongCount {
-        /// How many there are.
+        /// The number of items.
         count: usize,
-        /// The most that are accepted.
+        /// The maximum number of items.
         max: usize,
     },
-    /// It is no socket address.
-    #[error("{0}")]
+    /// The text is not an IP address with a port.
+    #[error("{0}: expected an IP address with a port, such as 10.0.0.5:8443 or [fd00::5]:8443")]
     InvalidAddress(#[from] std::net::AddrParseError),
-    /// It is no network.
-    #[error("{0}")]
+    /// The text is not a network in CIDR notation.
+    #[error("{0}: expected a network in CIDR notation, such as 10.1.0.0/16 or fd00::/8")]
     InvalidNetwork(#[from] ipnet::AddrParseError),
-    /// A network whose address has bits beyond the prefix.
-    #[error("{network} has bits set behind its length; {} is meant", network.trunc())]
+    /// A network whose address has bits set beyond its prefix length.
+    #[error("{network} has bits set beyond its prefix length; did you mean {}?", network.trunc())]
     HostBitsSet {
         /// The network as it is written.
         network: IpNet,
     },
-    /// A network that is named twice.
-    #[error("{network} is named twice")]
+    /// A network that the list already contains.
+    #[error("network {network} is listed more than once")]
     DuplicateNetwork {
-        /// The network.
+        /// The repeated network.
         network: IpNet,
     },
-    /// A server's URL that is named twice.
-    #[error("it is named twice")]
+    /// A server with the same URL as another one.
+    #[error("another server in the list has the same URL")]
     DuplicateUrl,
-    /// One application is fetched, and several are named.
-    #[error("\"app\" reads one application, and several are named")]
-    SeveralApps,
-    /// A virtual address without the fetch mode for it, or the other way round.
-    #[error("it goes with read: \"vip\", and with nothing else")]
-    VipWithoutVipMode,
-    /// A lease that one lost renewal would end.
-    #[error("one renewal that is lost must not end it: twice 'renew' at least")]
+    /// The fetch mode for a single application with more than one application.
+    #[error("\"app\" fetches a single application, but 'registry.apps' lists more than one")]
+    MultipleApps,
+    /// A virtual address without the fetch mode that uses it, or that mode without a virtual address.
+    #[error("must be set if 'registry.read' is \"vip\", and must not be set otherwise")]
+    VipModeMismatch,
+    /// A lease so short that one lost renewal would end it.
+    #[error("must be at least twice 'renew', so that one lost renewal does not end the lease")]
     LeaseTooShort,
-    /// An amount of memory out of range.
-    #[error("between 64KB and 1024MB")]
+    /// A size that is out of range.
+    #[error("the size is out of range: expected 64KB to 1024MB")]
     SizeOutOfRange,
 }
 
-/// All that is wrong at one stage.
+/// The diagnostics of one stage, in the order in which they were found.
 #[derive(Debug, Default)]
 pub(crate) struct Diagnostics(Vec<Diagnostic>);
 
@@ -248,7 +248,7 @@
         self.0.extend(more.0);
     }
 
-    /// Returns `value` if nothing is wrong.
+    /// Returns `value` if there are no diagnostics.
     pub(crate) fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.0.is_empty() { Ok(value) } else { Err(self) }
     }
@@ -265,7 +265,7 @@
     }
 }
 
-/// Collects all values, or all that is wrong with them.
+/// Collects the values of all results, or the diagnostics of all that failed.
 pub(crate) fn collect_all<T>(
     results: impl Iterator<Item = Result<T, Diagnostics>>,
 ) -> Result<Vec<T>, Diagnostics> {
@@ -280,7 +280,8 @@
     diagnostics.into_result(values)
 }
 
-/// Why a file can't be used: all that is wrong with it.
+/// The diagnostics for a file that can't be used. They are displayed one per line, each with the name of the
+/// file.
 #[derive(Debug)]
 pub struct OperatorConfigError {
     file: String,
@@ -294,7 +295,7 @@
         Self { file: file.to_owned(), diagnostics }
     }
 
-    /// All that is wrong, in the order of the positions.
+    /// The diagnostics, ordered by position.
     #[must_use]
     pub fn diagnostics(&self) -> &[Diagnostic] {
         &self.diagnostics
--- a/crates/operator-config/src/evaluate.rs
+++ b/crates/operator-config/src/evaluate.rs
@@ -1,21 +1,21 @@
-//! Evaluation: unifies the file with the schema and fills in the defaults.
+//! Evaluation: resolves the schema and the file, unifies them and fills in the defaults.
 
 use crate::diagnostic::{Diagnostic, DiagnosticKind, Diagnostics};
-use crate::export::{Tree, export};
+use crate::export::{ExportedValue, export};
 use crate::resolve::{Origin, Resolver};
 use crate::syntax::Field;
 use crate::unify::unify;
 use std::collections::BTreeMap;
 
-/// Evaluates the file and the schema, both given by their fields.
-pub(crate) fn evaluate(schema: &[Field], file: &[Field]) -> Result<Tree, Diagnostics> {
+/// Evaluates a file against the schema; both are given as the fields of their top level.
+pub(crate) fn evaluate(schema: &[Field], file: &[Field]) -> Result<ExportedValue, Diagnostics> {
     let definitions = collect_definitions(schema, file)?;
     let expected = Resolver::new(&definitions, Origin::Schema).top_level(schema)?;
     let given = Resolver::new(&definitions, Origin::File).top_level(file)?;
     export(&unify(&expected, &given)?)
 }
 
-/// The definitions by name. The file may add to those of the schema, and replace none.
+/// Collects the definitions of schema and file by name. The file may add definitions but not replace any.
 fn collect_definitions<'f>(
     schema: &'f [Field],
     file: &'f [Field],
--- a/crates/operator-config/src/export.rs
+++ b/crates/operator-config/src/export.rs
@@ -1,4 +1,4 @@
-//! The export: from a unified value to a concrete one, with the defaults filled in.
+//! The export: turns a unified value into a concrete one, with the defaults filled in.
 
 use crate::diagnostic::{Diagnostic, DiagnosticKind, Diagnostics, Position, collect_all};
 use crate::syntax::{Alternative, Presence};
@@ -6,17 +6,17 @@
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
 
-/// A concrete value, with the positions of all its parts.
+/// A concrete value, with the positions of all its fields and items.
 #[derive(Clone, Debug)]
-pub(crate) struct Tree {
-    pub(crate) value: Json,
-    /// By path, such as `registry.servers[0].url`.
+pub(crate) struct ExportedValue {
+    pub(crate) json: Json,
+    /// The positions by path, such as `registry.servers[0].url`; the empty path is the whole value.
     positions: BTreeMap<String, Position>,
 }
 
-impl Tree {
-    /// The position of the part at `path`. A default stands nowhere in the file: then it is that of the record that
-    /// contains it.
+impl ExportedValue {
+    /// The position of the field or item at `path`. Defaults have no position in the file; theirs is that of
+    /// the innermost record or list around them that has one.
     pub(crate) fn position(&self, path: &str) -> Position {
         let mut path = path;
         loop {
@@ -33,11 +33,11 @@
     path.rfind(['.', '[']).map_or("", |end| &path[..end])
 }
 
-/// Exports a value.
-pub(crate) fn export(value: &Value) -> Result<Tree, Diagnostics> {
+/// Exports a unified value; each field must have a concrete value or a single default.
+pub(crate) fn export(value: &Value) -> Result<ExportedValue, Diagnostics> {
     let mut exporter = Exporter { positions: BTreeMap::new() };
-    let value = exporter.value(value, String::new(), Position::WHOLE_FILE)?;
-    Ok(Tree { value, positions: exporter.positions })
+    let json = exporter.value(value, String::new(), Position::WHOLE_FILE)?;
+    Ok(ExportedValue { json, positions: exporter.positions })
 }
 
 struct Exporter {
@@ -48,7 +48,7 @@
     fn value(&mut self, value: &Value, path: String, parent: Position) -> Result<Json, Diagnostics> {
         let position = value.position.or(parent);
         let json = match &value.kind {
-            ValueKind::Plain(scalar) => scalar_json(scalar),
+            ValueKind::Scalar(scalar) => scalar_json(scalar),
             ValueKind::Any | ValueKind::Constrained(_) => {
                 return Err(missing_value(value, path, position).into());
             }
@@ -102,7 +102,7 @@
     }
 }
 
-/// The default, if there is just one.
+/// The default alternative, if exactly one is marked as such.
 fn single_default(alternatives: &[Alternative<Value>]) -> Option<&Value> {
     let mut defaults = alternatives.iter().filter(|alternative| alternative.is_default);
     let first = defaults.next()?;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,10 +1,12 @@
-//! The operator's file: what an installation configures beside the platform's own configuration.
+//! The operator's file: the settings of an installation that the platform's own configuration does not hold.
 //!
-//! It is written in a strict subset of CUE and unified with a schema that is part of the program. All that is wrong
-//! with a file is reported with its position, and a file with an error changes nothing.
+//! The file is written in a strict subset of CUE and unified with a schema that is part of the program. Each
+//! error is reported with its position, and a file with any error is rejected as a whole.
 //!
-//! The stages are the parser (text to syntax tree), the resolver (syntax tree to values), unification (file with
-//! schema), the export (defaults filled in) and the decoder (settings, with the checks that a schema can't express).
+//! The stages are the parser (text to syntax tree), the resolver (syntax tree to values), unification (of the
+//! file with the schema), the export (to concrete values, with defaults filled in) and the decoder (to
+//! settings, with the checks that a schema can't express). Only the errors of the first stage that fails are
+//! reported.
 
 mod decode;
 mod diagnostic;
@@ -27,18 +29,18 @@
 use diagnostic::Diagnostics;
 use std::path::Path;
 
-/// The schema, to read and for `pooler check --schema`.
+/// The CUE schema of the operator's file, which `pooler check --schema` prints.
 pub const SCHEMA: &str = include_str!("schema.cue");
 
-/// A longer file is not read.
+/// The maximum size of an operator's file in bytes; a longer file is rejected.
 pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
 impl OperatorConfig {
-    /// Reads the file at `path`.
+    /// Reads and decodes the file at `path`.
     ///
     /// # Errors
     ///
-    /// When it can't be read, or something in it is wrong.
+    /// When the file can't be read or is invalid.
     pub fn load(path: &Path) -> Result<Self, OperatorConfigError> {
         let name = path.display().to_string();
         match std::fs::read(path) {
@@ -50,11 +52,11 @@
         }
     }
 
-    /// Decodes a file's text; `name` is the file's, for its errors.
+    /// Decodes the contents of a file; errors show the file's `name`.
     ///
     /// # Errors
     ///
-    /// When something in it is wrong.
+    /// When the contents are too long, are not UTF-8, or are invalid.
     pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, OperatorConfigError> {
         decode_file(bytes).map_err(|diagnostics| OperatorConfigError::new(name, diagnostics))
     }
--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -1,4 +1,4 @@
-//! The parser: from a file's text to its syntax tree.
+//! The parser: turns a file's text into its syntax tree.
 
 use crate::diagnostic::{Diagnostic, DiagnosticKind, Position};
 use crate::syntax::{Alternative, Comparison, Expression, ExpressionKind, Field, Presence, TypeName};
@@ -10,31 +10,34 @@
 #[grammar = "cue.pest"]
 struct Grammar;
 
-/// Records, lists and parentheses are nested no deeper than this.
-const MAX_DEPTH: usize = 32;
+/// The maximum nesting depth of records, lists and parentheses.
+const MAX_NESTING_DEPTH: usize = 32;
 
-/// The fields of a file, definitions with their `#`.
+/// Parses a file to the fields of its top level. The names of definitions include their `#`.
 pub(crate) fn parse(text: &str) -> Result<Vec<Field>, Diagnostic> {
-    if let Some(position) = find_too_deep(text) {
-        return Err(Diagnostic::new(position, DiagnosticKind::NestedTooDeeply { max_depth: MAX_DEPTH }));
+    if let Some(position) = find_excessive_nesting(text) {
+        return Err(Diagnostic::new(
+            position,
+            DiagnosticKind::NestedTooDeeply { max_depth: MAX_NESTING_DEPTH },
+        ));
     }
     let mut parsed = Grammar::parse(Rule::file, text).map_err(|error| syntax_diagnostic(&error))?;
     let file = parsed.next().map(Pair::into_inner);
     file.into_iter().flatten().filter(|pair| pair.as_rule() == Rule::field).map(field).collect()
 }
 
-/// Where brackets are nested too deeply. The generated parser recurses with each of them, so that they are counted
-/// first.
-fn find_too_deep(text: &str) -> Option<Position> {
+/// Finds the first bracket that exceeds [`MAX_NESTING_DEPTH`]. The generated parser recurses once per open
+/// bracket, which is why the depth is checked before it runs.
+fn find_excessive_nesting(text: &str) -> Option<Position> {
     let mut depth = 0_usize;
     let mut in_string = false;
     let mut escaped = false;
     let mut in_comment = false;
     let mut position = Position { line: 1, column: 0 };
-    let mut letters = text.chars().peekable();
-    while let Some(letter) = letters.next() {
+    let mut characters = text.chars().peekable();
+    while let Some(character) = characters.next() {
         position.column += 1;
-        match letter {
+        match character {
             '\n' => {
                 (in_string, in_comment, escaped) = (false, false, false);
                 position = Position { line: position.line + 1, column: 0 };
@@ -44,12 +47,12 @@
             '\\' if in_string => escaped = true,
             '"' => in_string = !in_string,
             _ if in_string => {}
-            '/' => in_comment = letters.peek() == Some(&'/'),
+            '/' => in_comment = characters.peek() == Some(&'/'),
             '{' | '[' | '(' => depth += 1,
             '}' | ']' | ')' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > MAX_DEPTH {
+        if depth > MAX_NESTING_DEPTH {
             return Some(position);
         }
     }
@@ -81,9 +84,9 @@
         Rule::identifier | Rule::definition | Rule::reference => "a name",
         Rule::presence => "':', '?:' or '!:'",
         Rule::EOI => "the end of the file",
-        Rule::operator | Rule::bound => "a bound",
-        Rule::escape => "an escape that is known",
-        _ => "something else",
+        Rule::operator | Rule::bound => "a bound (such as >=1)",
+        Rule::escape => "a valid escape sequence",
+        _ => "another construct",
     }
 }
 
@@ -92,7 +95,7 @@
     Position { line, column }
 }
 
-/// The diagnostic for a construct without one of its parts, which the grammar rules out.
+/// The diagnostic for a construct that lacks one of its parts. The grammar rules out all of these cases.
 fn incomplete(position: Position, construct: &'static str) -> Diagnostic {
     Diagnostic::new(position, DiagnosticKind::Incomplete { construct })
 }
@@ -115,24 +118,24 @@
 }
 
 fn label(pair: Pair<'_, Rule>) -> String {
-    let written = pair.as_str();
+    let source = pair.as_str();
     match pair.into_inner().next() {
         Some(inner) if inner.as_rule() == Rule::string => unescape(inner),
-        _ => written.trim().to_owned(),
+        _ => source.trim().to_owned(),
     }
 }
 
-/// The text of a string, without its quotes and escapes.
+/// The text of a string, without its quotes and with its escape sequences replaced.
 fn unescape(pair: Pair<'_, Rule>) -> String {
     let inner = pair.into_inner().next().map_or("", |inner| inner.as_str());
     let mut text = String::with_capacity(inner.len());
-    let mut letters = inner.chars();
-    while let Some(letter) = letters.next() {
-        if letter != '\\' {
-            text.push(letter);
+    let mut characters = inner.chars();
+    while let Some(character) = characters.next() {
+        if character != '\\' {
+            text.push(character);
             continue;
         }
-        text.push(match letters.next() {
+        text.push(match characters.next() {
             Some('n') => '\n',
             Some('t') => '\t',
             Some('r') => '\r',
@@ -149,7 +152,7 @@
         Rule::alternative => return conjunction(pair, position),
         Rule::conjunct => {
             let inner = pair.into_inner().next();
-            return expression(inner.ok_or_else(|| incomplete(position, "a value that is empty"))?);
+            return expression(inner.ok_or_else(|| incomplete(position, "an empty value"))?);
         }
         Rule::record => ExpressionKind::Record(pair.into_inner().map(field).collect::<Result<_, _>>()?),
         Rule::list => list(pair, position)?,
@@ -189,7 +192,7 @@
         None => Ok(ExpressionKind::List(Vec::new())),
         Some(inner) if inner.as_rule() == Rule::open_list => {
             let item = inner.into_inner().next();
-            let item = item.ok_or_else(|| incomplete(position, "a list of nothing"))?;
+            let item = item.ok_or_else(|| incomplete(position, "an open list without an item"))?;
             Ok(ExpressionKind::ListOf(Box::new(expression(item)?)))
         }
         Some(inner) => {
@@ -206,18 +209,18 @@
     Ok(ExpressionKind::Bound(comparison, Box::new(expression(limit)?)))
 }
 
-fn number(written: &str, position: Position) -> Result<ExpressionKind, Diagnostic> {
-    let digits = written.replace('_', "");
+fn number(source: &str, position: Position) -> Result<ExpressionKind, Diagnostic> {
+    let digits = source.replace('_', "");
     let kind = if digits.contains('.') {
         digits.parse().map(ExpressionKind::Float).ok()
     } else {
         digits.parse().map(ExpressionKind::Int).ok()
     };
-    kind.ok_or_else(|| Diagnostic::new(position, DiagnosticKind::NumberOutOfRange(written.to_owned())))
+    kind.ok_or_else(|| Diagnostic::new(position, DiagnosticKind::NumberOutOfRange(source.to_owned())))
 }
 
-fn word(written: &str) -> ExpressionKind {
-    match written {
+fn word(source: &str) -> ExpressionKind {
+    match source {
         "true" => ExpressionKind::Bool(true),
         "false" => ExpressionKind::Bool(false),
         "null" => ExpressionKind::Null,
--- a/crates/operator-config/src/resolve.rs
+++ b/crates/operator-config/src/resolve.rs
@@ -1,4 +1,5 @@
-//! The resolver: from the expressions of a syntax tree to values, with all references resolved.
+//! The resolver: turns the expressions of a syntax tree into values, with all references replaced by their
+//! values.
 
 use crate::diagnostic::{Diagnostic, DiagnosticKind, Diagnostics, Position};
 use crate::suggestion::Suggestion;
@@ -8,29 +9,31 @@
 use regex_lite::Regex;
 use std::collections::BTreeMap;
 
-/// Definitions that refer to one another go no deeper than this.
+/// The maximum depth of nested expressions, counted through references; it ends the resolution of definitions
+/// that refer to themselves.
 const MAX_DEPTH: usize = 64;
 
-/// Whose fields are resolved.
+/// The source of the fields that are resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// The program's. Its positions would mean nothing to the file's author, and are left out.
+    /// The program's schema. Its positions are left out, because they mean nothing to the author of the file.
     Schema,
-    /// The operator's.
+    /// The operator's file.
     File,
 }
 
-/// Resolves expressions with these definitions.
+/// Resolves expressions whose references refer to `definitions`.
 pub(crate) struct Resolver<'d> {
     definitions: &'d BTreeMap<&'d str, &'d Field>,
     origin: Origin,
 }
 
-/// Where in the tree an expression stands.
+/// The surroundings of an expression in the syntax tree.
 #[derive(Clone, Copy)]
 struct Context {
+    /// How many expressions and references contain this expression.
     depth: usize,
-    /// Whether records accept no other fields.
+    /// Whether records here are closed: fields that they don't define are errors.
     is_closed: bool,
 }
 
@@ -45,7 +48,8 @@
         Self { definitions, origin }
     }
 
-    /// The record of all fields at the top that are no definitions. That of the schema is closed.
+    /// Resolves the top level of a file to a record, without definitions and hidden fields. The schema's is
+    /// closed.
     pub(crate) fn top_level(&self, fields: &[Field]) -> Result<Value, Diagnostics> {
         let fields: Vec<&Field> = fields.iter().filter(|field| !field.is_definition()).collect();
         let position = fields.first().map_or(Position::WHOLE_FILE, |field| self.position(field.position));
@@ -71,7 +75,8 @@
             match self.value(&field.value, context.nested()) {
                 Ok(value) => {
                     let value = FieldValue { presence: field.presence, value, position };
-                    // In CUE a field that stands twice means both; here it is taken for a mistake.
+                    // CUE unifies the values of a repeated field; here the repetition is reported as a
+                    // mistake.
                     if values.insert(field.name.clone(), value).is_some() {
                         let kind = DiagnosticKind::DuplicateField(field.name.clone());
                         diagnostics.push(Diagnostic::new(position, kind));
@@ -91,15 +96,15 @@
         }
         let nested = |expression: &Expression| self.value(expression, context.nested());
         let kind = match &expression.kind {
-            ExpressionKind::Int(number) => ValueKind::Plain(Scalar::Int(*number)),
-            ExpressionKind::Float(number) => ValueKind::Plain(Scalar::Float(*number)),
-            ExpressionKind::Text(text) => ValueKind::Plain(Scalar::Text(text.clone())),
-            ExpressionKind::Bool(flag) => ValueKind::Plain(Scalar::Bool(*flag)),
-            ExpressionKind::Null => ValueKind::Plain(Scalar::Null),
+            ExpressionKind::Int(number) => ValueKind::Scalar(Scalar::Int(*number)),
+            ExpressionKind::Float(number) => ValueKind::Scalar(Scalar::Float(*number)),
+            ExpressionKind::Text(text) => ValueKind::Scalar(Scalar::Text(text.clone())),
+            ExpressionKind::Bool(flag) => ValueKind::Scalar(Scalar::Bool(*flag)),
+            ExpressionKind::Null => ValueKind::Scalar(Scalar::Null),
             ExpressionKind::Type(TypeName::Any) => ValueKind::Any,
             ExpressionKind::Type(name) => ValueKind::Constrained(vec![Constraint::Type(*name)]),
             ExpressionKind::Bound(comparison, limit) => {
-                let constraint = bound(*comparison, nested(limit)?, position)?;
+                let constraint = resolve_bound(*comparison, nested(limit)?, position)?;
                 ValueKind::Constrained(vec![constraint])
             }
             ExpressionKind::Record(fields) => {
@@ -135,23 +140,27 @@
             let kind = DiagnosticKind::UndefinedReference { name: name.to_owned(), suggestion };
             return Err(Diagnostic::new(position, kind).into());
         };
-        // What a definition holds is closed, wherever it is used; a hidden field is only a name.
+        // Records in a definition are closed wherever it is used; those in a hidden field are not.
         let context = Context { is_closed: name.starts_with('#'), ..context.nested() };
         let value = self.value(&field.value, context)?;
         Ok(Value { position, ..value })
     }
 }
 
-fn bound(comparison: Comparison, limit: Value, position: Position) -> Result<Constraint, Diagnostics> {
+fn resolve_bound(
+    comparison: Comparison,
+    limit: Value,
+    position: Position,
+) -> Result<Constraint, Diagnostics> {
     match limit.kind {
-        ValueKind::Plain(Scalar::Text(pattern)) if comparison == Comparison::Matches => {
+        ValueKind::Scalar(Scalar::Text(pattern)) if comparison == Comparison::Matches => {
             if let Err(error) = Regex::new(&pattern) {
                 let kind = DiagnosticKind::InvalidPattern { pattern, error };
                 return Err(Diagnostic::new(position, kind).into());
             }
             Ok(Constraint::Bound { comparison, limit: Scalar::Text(pattern) })
         }
-        ValueKind::Plain(limit) if comparison != Comparison::Matches => {
+        ValueKind::Scalar(limit) if comparison != Comparison::Matches => {
             Ok(Constraint::Bound { comparison, limit })
         }
         _ => Err(Diagnostic::new(position, DiagnosticKind::InvalidBound).into()),
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of an operator's file as plain types.
+//! The decoded settings of an operator's file. The keys in the file, their units and defaults are in
+//! `schema.cue`.
 
 use ipnet::IpNet;
 use serde::Deserialize;
@@ -6,136 +7,138 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What an operator configures.
+/// All settings of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// The service registry that is watched, if one is.
+    /// The service registry to watch; `None` uses no registry.
     pub registry: Option<RegistrySettings>,
-    /// The log on standard error.
+    /// The settings of the log on standard error.
     pub log: LogSettings,
 }
 
-/// What is fetched from a registry.
+/// What a poll of the registry fetches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FetchMode {
-    /// All applications, and then the changes.
+    /// All applications at first, and then the changes.
     #[default]
     Delta,
-    /// All applications, at each poll.
+    /// All applications at each poll.
     Full,
-    /// One application, at each poll.
+    /// The only configured application at each poll.
     App,
-    /// One virtual address, at each poll.
+    /// The instances of one virtual address at each poll.
     Vip,
 }
 
-/// A service registry.
+/// The settings of a service registry and of its client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
-    /// Its servers, the preferred one first.
+    /// The registry's servers in the order in which they are tried, at least one.
     pub servers: Vec<ServerSettings>,
-    /// The applications whose instances are endpoints.
+    /// The names of the applications whose instances are endpoints, at least one.
     pub apps: Vec<String>,
-    /// Where endpoints may lie.
+    /// The networks that may contain endpoints, at least one.
     pub networks: Vec<NetworkSettings>,
-    /// What is fetched.
+    /// What a poll fetches.
     pub fetch_mode: FetchMode,
-    /// The virtual address that is fetched in [`FetchMode::Vip`].
+    /// The virtual address that is fetched in [`FetchMode::Vip`]; empty in all other modes.
     pub vip_address: String,
-    /// Between two polls.
+    /// The time between two polls.
     pub poll_interval: Duration,
-    /// How long a call may take.
+    /// The timeout of one call to a server.
     pub call_timeout: Duration,
-    /// The longest backoff while all servers fail.
+    /// The maximum backoff between polls while all servers fail.
     pub max_backoff: Duration,
-    /// A larger body is not read.
+    /// The maximum size of a response body in bytes, after decompression.
     pub max_body_bytes: u64,
-    /// The fraction of the active endpoints that a snapshot may lack and still be believed.
+    /// The maximum fraction of the active endpoints that a snapshot may lack and still be believed, from 0 to
+    /// 1.
     pub max_missing_fraction: f64,
-    /// A suspected loss that lasts this long is believed; `None` never.
+    /// How long a suspected loss must last until it is believed; `None` means that it never is.
     pub accept_loss_after: Option<Duration>,
-    /// Whether a drain ends when the override that caused it is taken back.
+    /// Whether a drain that a status override started also ends when the override is removed.
     pub accept_override_removal: bool,
-    /// The metadata keys.
+    /// The metadata keys that hold the properties of an instance.
     pub metadata_keys: MetadataKeys,
-    /// The role of a primary.
+    /// The value of the role metadata that marks an instance as a primary.
     pub primary_role: String,
-    /// The group of instances that name none.
+    /// The group of instances whose metadata name none; `None` rejects such instances.
     pub default_group: Option<i64>,
-    /// Whether endpoints are reached on their secure port.
+    /// Whether endpoints are reached on the secure port of their instances rather than on the plain one.
     pub use_secure_port: bool,
-    /// The user of HTTP basic authentication.
+    /// The credentials for HTTP basic authentication, if the registry requires them.
     pub user: Option<UserSettings>,
-    /// The certificates of the authorities that are trusted.
+    /// The PEM file with the trusted certificate authorities; with `None`, no authority is trusted.
     pub ca_file: Option<PathBuf>,
-    /// The pooler's own certificate.
+    /// The pooler's certificate for TLS client authentication, if the registry requires one.
     pub identity: Option<ClientIdentitySettings>,
-    /// How the pooler registers itself, if it does.
+    /// The pooler's own registration; `None` registers nothing.
     pub registration: Option<RegistrationSettings>,
 }
 
 /// A server of a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSettings {
-    /// Its URL.
+    /// The base URL of the server's REST API.
     pub url: String,
-    /// Where it listens if the URL's host is a name.
+    /// The address to connect to; needed if the URL's host is a name, because host names are not resolved.
     pub address: Option<SocketAddr>,
 }
 
-/// A network in which endpoints may lie.
+/// A network that may contain endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NetworkSettings {
-    /// The network.
+    /// The network's address and prefix length.
     pub prefix: IpNet,
-    /// The zone of what lies in it, where that is known.
+    /// The zone of endpoints in this network whose metadata name none; `None` if it is unknown.
     pub zone: Option<String>,
 }
 
-/// The keys of an instance's metadata.
+/// The keys in an instance's metadata under which its properties are found.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MetadataKeys {
-    /// Of the group.
+    /// The key of the group, a whole number.
     pub group: String,
-    /// Of the zone.
+    /// The key of the zone.
     pub zone: String,
-    /// Of the role.
+    /// The key of the role.
     pub role: String,
-    /// Of the last start.
+    /// The key of the time of the last start, in ms since 1970.
     pub started: String,
 }
 
-/// The user of HTTP basic authentication.
+/// The credentials for HTTP basic authentication.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct UserSettings {
-    /// The user's name.
+    /// The user's name, without colons.
     pub name: String,
-    /// The file that holds the password.
+    /// The file that contains the password and nothing else.
     pub password_file: PathBuf,
 }
 
-/// The pooler's own certificate.
+/// The certificate and private key that the pooler presents to the registry's servers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ClientIdentitySettings {
-    /// The file of the certificate.
+    /// The PEM file with the certificate chain.
     #[serde(rename = "certificate")]
     pub certificate_file: PathBuf,
-    /// The file of the key.
+    /// The PEM file with the private key.
     #[serde(rename = "key")]
     pub key_file: PathBuf,
 }
 
-/// How the pooler registers itself.
+/// The pooler's own registration in the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistrationSettings {
-    /// Its application.
+    /// The application under which the pooler registers.
     pub app: String,
-    /// Its id; by default its name and where it listens.
+    /// The instance id; `None` makes it of the pooler's name and the address on which it listens.
     pub id: Option<String>,
-    /// How often the lease is renewed.
+    /// The time between two renewals of the registration lease.
     pub renewal_interval: Duration,
-    /// The duration of the lease: after so long without a renewal the registry may evict the registration.
+    /// The duration of the lease after a renewal; once it has passed, the registry may evict the
+    /// registration.
     pub lease_duration: Duration,
 }
 
@@ -143,10 +146,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Text.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -158,18 +161,18 @@
     Error,
     /// Warnings and errors.
     Warn,
-    /// Also what happens in normal operation.
+    /// Warnings, errors and events of normal operation.
     #[default]
     Info,
-    /// Also details for debugging.
+    /// All of these and details for debugging.
     Debug,
 }
 
-/// The log on standard error.
+/// The settings of the log on standard error.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct LogSettings {
-    /// The least severe level.
+    /// The least severe level that is logged.
     pub level: LogLevel,
-    /// The format of lines.
+    /// The format of each log line.
     pub format: LogFormat,
 }
--- a/crates/operator-config/src/syntax.rs
+++ b/crates/operator-config/src/syntax.rs
@@ -1,4 +1,4 @@
-//! The syntax tree of a file. Each part has its position.
+//! The syntax tree of a file: fields and expressions with their positions.
 
 use crate::diagnostic::Position;
 
@@ -10,13 +10,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ExpressionKind {
-    /// One of these: `a | b`.
+    /// Any one of the alternatives: `a | b`.
     Disjunction(Vec<Alternative<Expression>>),
-    /// All of these at once: `a & b`.
+    /// All of the parts at once: `a & b`.
     Conjunction(Vec<Expression>),
     Record(Vec<Field>),
     List(Vec<Expression>),
-    /// Any number of items like this: `[...a]`.
+    /// A list of any length whose items all satisfy this expression: `[...a]`.
     ListOf(Box<Expression>),
     Bound(Comparison, Box<Expression>),
     Int(i64),
@@ -29,10 +29,10 @@
     Reference(String),
 }
 
-/// One of several alternatives.
+/// An alternative of a disjunction.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Alternative<T> {
-    /// Whether it is the default: `*a`.
+    /// Whether this alternative is marked as the default: `*a`.
     pub(crate) is_default: bool,
     pub(crate) value: T,
 }
@@ -44,7 +44,7 @@
     Greater,
     Less,
     NotEqual,
-    /// By a regular expression.
+    /// The text matches a regular expression.
     Matches,
 }
 
@@ -52,7 +52,7 @@
     const ALL: [Self; 6] =
         [Self::GreaterOrEqual, Self::LessOrEqual, Self::Greater, Self::Less, Self::NotEqual, Self::Matches];
 
-    /// As it is written.
+    /// The operator as it is written in a file.
     pub(crate) fn symbol(self) -> &'static str {
         match self {
             Self::GreaterOrEqual => ">=",
@@ -71,7 +71,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TypeName {
-    /// `_`.
+    /// Any value, written `_`.
     Any,
     String,
     Int,
@@ -83,7 +83,7 @@
 impl TypeName {
     const ALL: [Self; 6] = [Self::Any, Self::String, Self::Int, Self::Float, Self::Number, Self::Bool];
 
-    /// As it is written.
+    /// The name as it is written in a file.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Any => "_",
@@ -102,7 +102,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Presence {
-    /// `field:`.
+    /// `field:`, which has a value.
     Regular,
     /// `field?:`, which may be missing.
     Optional,
@@ -119,7 +119,8 @@
 }
 
 impl Field {
-    /// Whether it only exists to be referred to: a definition or a hidden field.
+    /// Whether the field is a definition (`#name`) or hidden (`_name`): it can be referred to, but is not a
+    /// setting.
     pub(crate) fn is_definition(&self) -> bool {
         self.name.starts_with(['#', '_'])
     }
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -1,4 +1,5 @@
-//! Values as far as they are known: plain, constrained, or composed of others.
+//! Values during evaluation: scalars, constraints on scalars that are not known yet, records, lists and
+//! disjunctions.
 
 use crate::diagnostic::Position;
 use crate::syntax::{Alternative, Comparison, Presence, TypeName};
@@ -7,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Text is quoted in messages up to this many characters.
+/// The maximum number of characters of a text that a message quotes.
 const MAX_QUOTED_CHARS: usize = 80;
 
-/// A plain value.
+/// A concrete value other than a record or a list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Scalar {
     Int(i64),
@@ -39,10 +40,10 @@
         }
     }
 
-    /// How two plain values are ordered; `None` where they are not comparable.
+    /// The order of two numbers or two texts; `None` for any other pair.
     fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
-            (Self::Text(one), Self::Text(other)) => Some(one.cmp(other)),
+            (Self::Text(left), Self::Text(right)) => Some(left.cmp(right)),
             _ => self.as_number()?.partial_cmp(&other.as_number()?),
         }
     }
@@ -60,7 +61,7 @@
     }
 }
 
-/// What a plain value must satisfy.
+/// A condition on a scalar.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Constraint {
     Type(TypeName),
@@ -106,7 +107,7 @@
     }
 }
 
-/// A field of a record.
+/// A field of a record, after its expression has been resolved.
 #[derive(Clone, Debug)]
 pub(crate) struct FieldValue {
     pub(crate) presence: Presence,
@@ -114,42 +115,42 @@
     pub(crate) position: Position,
 }
 
-/// A record.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) fields: BTreeMap<String, FieldValue>,
-    /// Whether it accepts no other fields.
+    /// Whether unification with a record that has other fields is an error.
     pub(crate) is_closed: bool,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum ValueKind {
     Any,
-    /// A plain value of which only these constraints are known.
+    /// A scalar that is not known yet and must satisfy all of these constraints.
     Constrained(Vec<Constraint>),
-    Plain(Scalar),
+    Scalar(Scalar),
     Record(Record),
     List(Vec<Value>),
-    /// A list of any length whose items are like this.
+    /// A list of any length whose items all satisfy this value.
     ListOf(Box<Value>),
-    /// One of these.
+    /// Any one of these alternatives.
     Disjunction(Vec<Alternative<Value>>),
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Value {
     pub(crate) kind: ValueKind,
-    /// Where the file gives it; the whole file for what only the schema says.
+    /// The position in the operator's file, or [`Position::WHOLE_FILE`] for a value that only the schema
+    /// gives.
     pub(crate) position: Position,
 }
 
-/// Describes the value in messages.
+/// Describes the value in messages: scalars and constraints are written out, records and lists are not.
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.kind {
-            ValueKind::Any => write!(f, "anything"),
+            ValueKind::Any => write!(f, "any value"),
             ValueKind::Constrained(constraints) => write_joined(f, constraints.iter(), " & "),
-            ValueKind::Plain(scalar) => write!(f, "{scalar}"),
+            ValueKind::Scalar(scalar) => write!(f, "{scalar}"),
             ValueKind::Record(_) => write!(f, "a record"),
             ValueKind::List(_) | ValueKind::ListOf(_) => write!(f, "a list"),
             ValueKind::Disjunction(alternatives) => {
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Valid files, and invalid ones: each error with its position.
+//! Decoding of valid files, and the positions and messages of the errors in invalid ones.
 
 use pooler_operator_config::{FetchMode, LogLevel, OperatorConfig, OperatorConfigError};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 const VALID: &str = r#"
 package pooler
 
-// A registry beside the platform's discovery.
+// A registry in addition to the platform's discovery.
 registry: {
 	servers: [{url: "http://127.0.0.1:8761/eureka"}, {
 		url: "https://registry.example/eureka"
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn missing_settings_have_defaults() {
+fn unset_settings_take_their_defaults() {
     let config = decode(&valid()).unwrap();
     let registry = config.registry.unwrap();
     assert_eq!(registry.poll_interval, Duration::from_secs(5));
@@ -47,11 +47,11 @@
     assert_eq!(registration.renewal_interval, Duration::from_secs(10));
     assert_eq!(registration.lease_duration, Duration::from_secs(90));
     assert_eq!(config.log.level, LogLevel::Warn);
-    assert_eq!(decode("").unwrap(), OperatorConfig::default(), "an empty file configures nothing");
+    assert_eq!(decode("").unwrap(), OperatorConfig::default(), "an empty file gives the default settings");
 }
 
 #[test]
-fn files_of_the_former_package_name_stay_readable() {
+fn files_with_the_former_package_name_are_accepted() {
     let former = valid().replace("package pooler", "package linnetdeal");
     assert_ne!(former, valid());
     assert_eq!(decode(&former).unwrap(), decode(&valid()).unwrap());
@@ -63,43 +63,79 @@
         (
             "interval: \"5s\"",
             "intervall: \"5s\"",
-            "11:2: there is no field 'intervall' here; is 'interval' meant?",
+            "11:2: unknown field 'intervall'; did you mean 'interval'?",
+        ),
+        ("\"5s\"", "5", "11:12: 'interval': expected =~\"^[1-9][0-9]{0,8}(ms|s|m|h)$\" or \"30s\", found 5"),
+        (
+            "\"5s\"",
+            "\"it's\"",
+            "11:12: 'interval': expected =~\"^[1-9][0-9]{0,8}(ms|s|m|h)$\" or \"30s\", found \"it's\"",
+        ),
+        (
+            "\"5s\"",
+            "\"5 s\"",
+            "11:12: 'interval': expected =~\"^[1-9][0-9]{0,8}(ms|s|m|h)$\" or \"30s\", found \"5 s\"",
+        ),
+        ("\"5s\"", "\"5ms\"", "11:12: 'registry.interval': 5ms is out of range: expected 100ms to 3600s"),
+        ("0.25", "1.5", "12:14: 'lost_share': expected number & >=0 & <=1 or 0.5, found 1.5"),
+        ("0.25", "\"much\"", "12:14: 'lost_share': expected number & >=0 & <=1 or 0.5, found \"much\""),
+        (
+            "\"10.1.0.0/16\"",
+            "\"10.1.0.1/16\"",
+            "'registry.networks[0].prefix': 10.1.0.1/16 has bits set beyond its prefix length; \
+             did you mean 10.1.0.0/16?",
+        ),
+        (
+            "fd00::/8",
+            "10.1.0.0/16",
+            "'registry.networks[1].prefix': network 10.1.0.0/16 is listed more than once",
+        ),
+        ("apps: [\"DB\"]", "apps: []", "10:8: 'registry.apps': the list has 0 items: expected 1 to 256"),
+        ("apps: [\"DB\"], ", "", "required field 'registry.apps' is missing"),
+        (
+            "url: \"http://",
+            "url: \"ftp://",
+            "expected =~\"^https?://[^ @?#]+$\", found \"ftp://127.0.0.1:8761/eureka\"",
+        ),
+        (
+            "\"10.0.0.5:8443\"",
+            "\"10.0.0.5:99999\"",
+            "'registry.servers[1].at': invalid socket address syntax: expected an IP address with a port",
+        ),
+        ("_pooler\n", "_poler\n", "13:12: '_poler' is not defined; did you mean '_pooler'?"),
+        (
+            "\"10s\"}",
+            "\"80s\"}",
+            "'registry.register.expires': must be at least twice 'renew', so that one lost renewal",
+        ),
+        ("\"10s\"}", "\"10s\"", "syntax error: expected"),
+        (
+            "interval: \"5s\"",
+            "interval: \"5s\"\n\tinterval: \"5s\"",
+            "12:2: field 'interval' occurs more than once in this record",
         ),
-        ("\"5s\"", "5", "11:12: 'interval': 5 does not fit =~"),
-        ("\"5s\"", "\"it's\"", "11:12: 'interval': \"it's\" does not fit"),
-        ("\"5s\"", "\"5 s\"", "11:12: 'interval': \"5 s\" does not fit"),
-        ("\"5s\"", "\"5ms\"", "11:12: 'registry.interval': 5ms is not between 100ms and 3600s"),
-        ("0.25", "1.5", "12:14: 'lost_share': 1.5 does not fit number & >=0 & <=1 or 0.5"),
-        ("0.25", "\"much\"", "12:14: 'lost_share': \"much\" does not fit"),
-        ("\"10.1.0.0/16\"", "\"10.1.0.1/16\"", "'registry.networks[0].prefix': 10.1.0.1/16 has bits set"),
-        ("fd00::/8", "10.1.0.0/16", "'registry.networks[1].prefix': 10.1.0.0/16 is named twice"),
-        ("apps: [\"DB\"]", "apps: []", "10:8: 'registry.apps': 0 are named"),
-        ("apps: [\"DB\"], ", "", "'registry.apps' is missing"),
-        ("url: \"http://", "url: \"ftp://", "does not fit =~\"^https?"),
-        ("\"10.0.0.5:8443\"", "\"10.0.0.5:99999\"", "'registry.servers[1].at': invalid socket address"),
-        ("_pooler\n", "_poler\n", "13:12: '_poler' is not defined; is '_pooler' meant?"),
-        ("\"10s\"}", "\"80s\"}", "one renewal that is lost must not end it"),
-        ("\"10s\"}", "\"10s\"", "expected"),
-        ("interval: \"5s\"", "interval: \"5s\"\n\tinterval: \"5s\"", "12:2: 'interval' stands here twice"),
         (
             "\"warn\"",
             "\"loud\"",
-            "15:14: 'level': \"loud\" does not fit \"error\" or \"warn\" or \"info\" or \"debug\"",
+            "15:14: 'level': expected \"error\" or \"warn\" or \"info\" or \"debug\", found \"loud\"",
         ),
-        ("\"5s\"", "\"5s\"\n\tread: \"vip\"", "'registry.vip': it goes with read"),
-        ("log:", "#Own: {}\nlog:", "15:1: '#Own' is defined already"),
-        ("\"5s\"", "_loop\n", "it refers to itself"),
+        ("\"5s\"", "\"5s\"\n\tread: \"vip\"", "'registry.vip': must be set if 'registry.read' is \"vip\""),
+        ("log:", "#Own: {}\nlog:", "15:1: '#Own' is already defined in this file or in the schema"),
+        ("\"5s\"", "_loop\n", "the value refers to itself"),
     ];
     for (from, to, expected) in cases {
         let text =
             valid().replacen(from, to, 1) + if to.starts_with("_loop") { "\n_loop: _loop\n" } else { "" };
         let message = decode(&text).expect_err(to).to_string();
-        assert!(message.contains(expected), "'{to}' gives\n{message}\nand not\n{expected}");
+        assert!(
+            message.contains(expected),
+            "replacing '{from}' by '{to}' gives\n{message}\ninstead of\n{expected}"
+        );
     }
 }
 
 #[test]
-fn all_errors_are_reported_at_once() {
+fn all_errors_of_a_stage_are_reported_together() {
     let text = valid().replace("\"5s\"", "7").replace("0.25", "2").replace("\"warn\"", "3");
     let error = decode(&text).unwrap_err();
     let lines: Vec<usize> = error.diagnostics().iter().map(|diagnostic| diagnostic.position.line).collect();
@@ -107,21 +143,28 @@
 }
 
 #[test]
-fn too_deep_nesting_and_too_long_files_are_errors() {
+fn excessive_nesting_and_excessive_length_are_rejected() {
     for text in ["[".repeat(100_000), format!("a: {}", "{b: ".repeat(5_000)), "a: (".repeat(9_999)] {
-        assert!(decode(&text).unwrap_err().to_string().contains("deep"));
+        assert!(
+            decode(&text).unwrap_err().to_string().contains("brackets are nested more than 32 levels deep")
+        );
     }
-    assert!(decode(&"// long\n".repeat(40_000)).unwrap_err().to_string().contains("longer than"));
+    assert!(
+        decode(&"// long\n".repeat(40_000))
+            .unwrap_err()
+            .to_string()
+            .contains("the file is longer than 262144 bytes")
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), failure_persistence: None, cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn arbitrary_files_never_panic(cut in 0..700_usize, junk in "[ -~\\n]{0,12}", keep in any::<bool>()) {
+    fn corrupt_files_never_panic(cut in 0..700_usize, insert in "[ -~\\n]{0,12}", keep in any::<bool>()) {
         let text = valid();
         let cut = cut.min(text.len());
         let rest = if keep { &text[cut..] } else { "" };
-        let _ = decode(&format!("{}{junk}{rest}", &text[..cut]));
+        let _ = decode(&format!("{}{insert}{rest}", &text[..cut]));
     }
 }
--- a/crates/pooler/tests/commands.rs
+++ b/crates/pooler/tests/commands.rs
@@ -63,8 +63,11 @@
     let CommandResult { exit_code, stderr, .. } = run(&["check", file.path()]);
     assert_eq!(exit_code, EXIT_CONFIG);
     let path = file.path();
-    assert!(stderr.contains(&format!("{path}:9:2: there is no field 'interval_s' here")), "{stderr}");
-    assert!(stderr.contains(&format!("{path}:10:")) && stderr.contains("7 does not fit string"), "{stderr}");
+    assert!(stderr.contains(&format!("{path}:9:2: unknown field 'interval_s'")), "{stderr}");
+    assert!(
+        stderr.contains(&format!("{path}:10:")) && stderr.contains("expected string or \"primary\", found 7"),
+        "{stderr}"
+    );
 }
 
 #[test]
