--- a/crates/operator-config/src/diagnostic.rs
+++ b/crates/operator-config/src/diagnostic.rs
@@ -72,7 +72,7 @@
         /// The maximum depth.
         max_depth: usize,
     },
-    /// The text does not follow the grammar; the field lists what the grammar allows at the position.
+    /// The text does not follow the grammar. These are the constructs that the grammar allows here.
     #[error("syntax error: expected {}", .0.join(" or "))]
     Expected(Vec<&'static str>),
     /// A construct that the grammar accepted lacks a part.
@@ -91,7 +91,7 @@
     #[error("definitions (#name) and hidden fields (_name) are only allowed at the top level of the file")]
     NestedDefinition,
     /// A field that occurs more than once in a record.
-    #[error("field '{0}' occurs more than once in this record")]
+    #[error("field '{0}' is repeated in this record")]
     DuplicateField(String),
     /// Expressions and references are nested too deeply, as in a definition that refers to itself.
     #[error("the value refers to itself, or its references and records are nested too deeply")]
@@ -116,7 +116,7 @@
         suggestion: Suggestion,
     },
     /// A value that conflicts with the schema or with another part of the file.
-    #[error("expected {expected}, found {given}")]
+    #[error("found {given}, expected {expected}")]
     Mismatch {
         /// A description of the value.
         given: String,
@@ -174,7 +174,7 @@
 
 impl DiagnosticKind {
     /// Whether the message can be understood without the name of the field in front of it.
-    pub(crate) fn names_field(&self) -> bool {
+    pub(crate) fn is_self_contained(&self) -> bool {
         !matches!(self, Self::Mismatch { .. } | Self::TooManyAlternatives { .. })
     }
 }
@@ -213,7 +213,7 @@
         network: IpNet,
     },
     /// A network that the list already contains.
-    #[error("network {network} is listed more than once")]
+    #[error("{network} is listed more than once")]
     DuplicateNetwork {
         /// The repeated network.
         network: IpNet,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -72,6 +72,6 @@
         Diagnostic::of_file(DiagnosticKind::InvalidSchema(Box::new(diagnostic.kind)))
     })?;
     let file = parser::parse(text)?;
-    let tree = evaluate::evaluate(&schema, &file)?;
-    decode::decode(&tree)
+    let exported = evaluate::evaluate(&schema, &file)?;
+    decode::decode(&exported)
 }
--- a/crates/operator-config/src/resolve.rs
+++ b/crates/operator-config/src/resolve.rs
@@ -28,7 +28,7 @@
     origin: Origin,
 }
 
-/// The surroundings of an expression in the syntax tree.
+/// The nesting depth of an expression, and the rule for records in it.
 #[derive(Clone, Copy)]
 struct Context {
     /// How many expressions and references contain this expression.
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -27,7 +27,7 @@
     Full,
     /// The only configured application at each poll.
     App,
-    /// The instances of one virtual address at each poll.
+    /// The configured virtual address at each poll.
     Vip,
 }
 
@@ -52,8 +52,7 @@
     pub max_backoff: Duration,
     /// The maximum size of a response body in bytes, after decompression.
     pub max_body_bytes: u64,
-    /// The maximum fraction of the active endpoints that a snapshot may lack and still be believed, from 0 to
-    /// 1.
+    /// The maximum fraction (0 to 1) of the active endpoints that a snapshot may lack and still be believed.
     pub max_missing_fraction: f64,
     /// How long a suspected loss must last until it is believed; `None` means that it never is.
     pub accept_loss_after: Option<Duration>,
@@ -67,11 +66,11 @@
     pub default_group: Option<i64>,
     /// Whether endpoints are reached on the secure port of their instances rather than on the plain one.
     pub use_secure_port: bool,
-    /// The credentials for HTTP basic authentication, if the registry requires them.
+    /// The credentials for HTTP basic authentication; `None` sends none.
     pub user: Option<UserSettings>,
     /// The PEM file with the trusted certificate authorities; with `None`, no authority is trusted.
     pub ca_file: Option<PathBuf>,
-    /// The pooler's certificate for TLS client authentication, if the registry requires one.
+    /// The pooler's certificate for TLS client authentication; `None` presents none.
     pub identity: Option<ClientIdentitySettings>,
     /// The pooler's own registration; `None` registers nothing.
     pub registration: Option<RegistrationSettings>,
@@ -82,7 +81,8 @@
 pub struct ServerSettings {
     /// The base URL of the server's REST API.
     pub url: String,
-    /// The address to connect to; needed if the URL's host is a name, because host names are not resolved.
+    /// The address to connect to; required if the URL's host is a name, because host names are not resolved.
+    /// `None` connects to the IP address in the URL.
     pub address: Option<SocketAddr>,
 }
 
@@ -164,7 +164,7 @@
     /// Warnings, errors and events of normal operation.
     #[default]
     Info,
-    /// All of these and details for debugging.
+    /// Events of all levels, details for debugging included.
     Debug,
 }
 
--- a/crates/operator-config/src/suggestion.rs
+++ b/crates/operator-config/src/suggestion.rs
@@ -6,7 +6,7 @@
 const BASE_MAX_DISTANCE: usize = 2;
 /// For long names the accepted edit distance is one per this many bytes of the known name.
 const BYTES_PER_EDIT: usize = 4;
-/// Of a misspelt name only this many characters are compared.
+/// The number of characters of a misspelt name that are compared; the rest is ignored.
 const MAX_COMPARED_CHARS: usize = 64;
 
 /// A known name that may be meant by a misspelt one, if any is similar enough. Displayed as the end of a
--- a/crates/operator-config/src/unify.rs
+++ b/crates/operator-config/src/unify.rs
@@ -137,7 +137,7 @@
 /// Adds the field's name to a diagnostic for its value, unless the diagnostic already names a field inside
 /// the value.
 fn in_field(name: &str, position: Position, diagnostic: Diagnostic) -> Diagnostic {
-    let lacks_field_name = diagnostic.position >= position && !diagnostic.kind.names_field();
+    let lacks_field_name = diagnostic.position >= position && !diagnostic.kind.is_self_contained();
     let kind = if diagnostic.position.is_whole_file() || lacks_field_name {
         DiagnosticKind::InField { name: name.to_owned(), kind: Box::new(diagnostic.kind) }
     } else {
