--- a/crates/testbed/src/commands/failover.rs
+++ b/crates/testbed/src/commands/failover.rs
@@ -1,4 +1,5 @@
-//! Plays all changes of primary, checks the model of them, and sums both up.
+//! The `primary` command: runs the changes of primary against a pooler, model-checks them, and prints a
+//! summary.
 
 use super::model::{THREADS, describe_violation};
 use super::parallel::run_in_parallel;
@@ -10,54 +11,58 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
+/// Bounds of the model check.
 const BOUNDS: Bounds =
-    Bounds { routers: 2, writes: 1, losses: 1, crashes: 1, drains: true, wrong_reset: false };
+    Bounds { routers: 2, writes: 1, losses: 1, crashes: 1, drains: true, treats_reset_as_unsent: false };
 
-/// Which cases to play, and how.
+/// The cases to run, and how to run them.
 pub struct Options {
-    /// Only cases whose names hold this.
+    /// Run only cases whose names contain this text; empty for all.
     pub only: String,
-    /// Cases that are played at the same time.
-    pub at_a_time: usize,
-    /// How often each case is played.
+    /// Maximum number of cases that run in parallel.
+    pub max_parallel: usize,
+    /// Number of runs of each case.
     pub times: usize,
 }
 
-/// The model as it is, and with a fault that the check must find.
+/// The check of the model, and of the model with a seeded fault that the check must find.
 struct ModelResults {
     checked: CheckResult,
-    with_fault: CheckResult,
+    seeded_fault: CheckResult,
 }
 
 impl ModelResults {
     fn check() -> Self {
         let checked = check(BOUNDS, THREADS);
-        let with_fault = check(Bounds { routers: 1, wrong_reset: true, ..BOUNDS }, THREADS);
-        Self { checked, with_fault }
+        let seeded_fault = check(Bounds { routers: 1, treats_reset_as_unsent: true, ..BOUNDS }, THREADS);
+        Self { checked, seeded_fault }
     }
 
     fn is_good(&self) -> bool {
-        self.checked.violation.is_none() && self.with_fault.violation.is_some()
+        self.checked.violation.is_none() && self.seeded_fault.violation.is_some()
     }
 }
 
-/// All cases together.
+/// The totals over all cases.
 #[derive(Default)]
 struct Summary {
     cases: usize,
+    /// Cases in which the primary did not reach its crash point.
     did_not_happen: usize,
     writes: usize,
+    /// Writes that ran more than once.
     doubled: usize,
     served_without_row: usize,
     rejected_with_row: usize,
     unanswered: usize,
     late: usize,
     failed: usize,
-    /// Of the crashes.
+    /// Writes requested while there was no primary, in the crash cases.
     without_primary: WritesWithoutPrimary,
     handovers: Vec<Duration>,
-    /// Of the planned changes: writes that were not served, and what the others took longer than the median before.
+    /// Writes in the planned changes that were not served.
     planned_errors: usize,
+    /// Latency of writes during the planned changes in excess of the median before the change.
     planned_delays: Vec<Duration>,
 }
 
@@ -74,9 +79,9 @@
         self.failed += outcome.failed;
         if case == FailoverCase::Planned {
             self.planned_errors += outcome.writes - outcome.served();
-            let usual = quantile(&outcome.latencies_before, 0.5);
+            let median = quantile(&outcome.latencies_before, 0.5);
             let during = outcome.latencies_during.iter();
-            self.planned_delays.extend(during.map(|took| took.saturating_sub(usual)));
+            self.planned_delays.extend(during.map(|took| took.saturating_sub(median)));
         } else {
             self.without_primary.served += outcome.without_primary.served;
             self.without_primary.asked += outcome.without_primary.asked;
@@ -107,15 +112,15 @@
             "unplanned_served_share": rounded(served_share),
             "states_checked": model.checked.states,
             "model_violations": u8::from(model.checked.violation.is_some()),
-            "seeded_fault_found": model.with_fault.violation.is_some()})
+            "seeded_fault_found": model.seeded_fault.violation.is_some()})
     }
 }
 
 fn print_outcome(case: FailoverCase, outcome: &FailoverOutcome, with_log: bool) {
     let outcomes = outcome.outcomes.iter().map(|(outcome, count)| format!("{outcome} {count}"));
     println!(
-        "{:<24} writes {:>5}  doubled {}  served without row {}  rejected with row {}  unanswered {}  late {}  \
-         without primary {}/{}  handover {:>5} ms  {}{}",
+        "{:<24} writes {:>5}  run twice {}  served without row {}  rejected with row {}  unanswered {}  \
+         late {}  without primary {}/{}  handover {:>5} ms  {}{}",
         case.to_string(),
         outcome.writes,
         outcome.doubled,
@@ -127,20 +132,20 @@
         outcome.without_primary.asked,
         outcome.handover.unwrap_or_default().as_millis(),
         outcomes.collect::<Vec<_>>().join(", "),
-        if outcome.happened { "" } else { "  DID NOT HAPPEN" }
+        if outcome.happened { "" } else { "  CRASH POINT NOT REACHED" }
     );
     if let Some(log) = outcome.log.as_ref().filter(|_| with_log) {
         println!("    log: {}", log.join(" | "));
     }
 }
 
-/// Plays the cases, and prints a line for each and a JSON object for all; whether all came out as they should.
+/// Runs the cases, and prints a line for each and a JSON summary. Returns whether all checks passed.
 pub fn run(options: &Options) -> Result<bool, TestbedError> {
     let mut cases = FailoverCase::all();
     cases.retain(|case| case.to_string().contains(&options.only));
     let cases = cases.repeat(options.times);
     let program = default_program();
-    let outcomes = run_in_parallel(&cases, options.at_a_time, |case| play(*case, &program));
+    let outcomes = run_in_parallel(&cases, options.max_parallel, |case| play(*case, &program));
     let mut summary = Summary::default();
     for (case, outcome) in cases.iter().zip(outcomes) {
         let outcome = outcome?;
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,5 @@
-//! The commands of the testbed's command line. Each prints its figures and returns whether all came out as it should.
+//! The commands of the testbed's command line. Each prints its results; those that check rules return whether
+//! all checks passed.
 
 pub mod failover;
 pub mod model;
@@ -6,7 +7,7 @@
 pub mod registry_benchmark;
 pub mod registry_scenarios;
 
-/// A share with four digits.
+/// The share rounded to four decimal places.
 fn rounded(share: f64) -> f64 {
     (share * 10_000.0).round() / 10_000.0
 }
--- a/crates/testbed/src/commands/model.rs
+++ b/crates/testbed/src/commands/model.rs
@@ -1,22 +1,22 @@
-//! Checks the model within bounds from the command line.
+//! The `model` command: model-checks changes of primary within the bounds given on the command line.
 
 use pooler_testbed::model::{Bounds, CheckResult, check};
 use serde_json::json;
 
-/// Threads that check.
+/// Number of threads of the model checker.
 pub const THREADS: usize = 4;
 
-/// A violation and the transitions that lead there, in words.
+/// Describes the violation that was found, if any, and the transitions that lead to it.
 pub fn describe_violation(result: &CheckResult) -> Option<String> {
     let (violation, transitions) = result.violation.as_ref()?;
     Some(format!("{violation}: {transitions:?}"))
 }
 
-/// Checks, and prints what was found as a JSON object; whether the rules hold.
+/// Checks the model and prints the result as a JSON object. Returns whether the rules hold in all states.
 pub fn run(bounds: Bounds) -> bool {
     let result = check(bounds, THREADS);
-    let found = json!({"states_checked": result.states, "outlasted": result.write_survives,
+    let summary = json!({"states_checked": result.states, "outlasted": result.retried_write_served,
         "wrong": describe_violation(&result)});
-    println!("{found}");
+    println!("{summary}");
     result.violation.is_none()
 }
--- a/crates/testbed/src/commands/registry_scenarios.rs
+++ b/crates/testbed/src/commands/registry_scenarios.rs
@@ -1,4 +1,4 @@
-//! Plays scenarios of a registry, and sums them up.
+//! The `eureka` command: runs the registry scenarios, and prints a summary.
 
 use super::parallel::run_in_parallel;
 use super::rounded;
@@ -6,36 +6,37 @@
 use pooler_testbed::history::RuleReport;
 use pooler_testbed::pooler_process::default_program;
 use pooler_testbed::scenario::Scenario;
-use pooler_testbed::scenario_runner::{ScenarioOutcome, play};
+use pooler_testbed::scenario_runner::{ScenarioOutcome, run_scenario};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// The scenario in which the registry works, and the one in which it is away for [`AWAY_S`] seconds of scenario time.
-const REGISTRY_WORKS: &str = "well";
-const REGISTRY_AWAY: &str = "away";
-const AWAY_S: u32 = 600;
+/// The scenario in which the registry is available throughout.
+const BASELINE_SCENARIO: &str = "well";
+/// The scenario in which the registry is unavailable for [`OUTAGE_S`] seconds of scenario time.
+const OUTAGE_SCENARIO: &str = "away";
+const OUTAGE_S: u32 = 600;
 
-/// Which scenarios to play, and how.
+/// The scenarios to run, and how to run them.
 pub struct Options {
-    /// A file of scenarios; the built-in ones without it.
+    /// The scenario file; `None` for the built-in scenarios.
     pub file: Option<PathBuf>,
-    /// Only scenarios whose names hold this.
+    /// Run only scenarios whose names contain this text; empty for all.
     pub only: String,
-    /// For the clients' choices.
+    /// Seed of the clients' random choices.
     pub seed: u64,
-    /// Scenarios that are played at the same time.
-    pub at_a_time: usize,
+    /// Maximum number of scenarios that run in parallel.
+    pub max_parallel: usize,
 }
 
-/// All scenarios together.
+/// The totals over all scenarios.
 #[derive(Default)]
 struct Summary {
     scenarios: usize,
-    unplayed: usize,
+    not_run: usize,
     missed: usize,
     report: RuleReport,
-    /// By scenario.
+    /// The share of requests served, by name of the scenario.
     served_shares: BTreeMap<String, f64>,
 }
 
@@ -46,8 +47,8 @@
         let outcome = match outcome {
             Ok(outcome) => outcome,
             Err(error) => {
-                self.unplayed += 1;
-                println!("{name:<22} could not be played: {error}");
+                self.not_run += 1;
+                println!("{name:<22} could not be run: {error}");
                 return;
             }
         };
@@ -63,7 +64,7 @@
             + report.stale_reads
             + report.doubled_writes
             + report.sends_outside_networks;
-        self.unplayed == 0 && self.missed == 0 && violations == 0
+        self.not_run == 0 && self.missed == 0 && violations == 0
     }
 
     fn to_json(&self, seed: u64) -> Value {
@@ -74,16 +75,16 @@
             "stale_reads": report.stale_reads, "writes_doubled": report.doubled_writes,
             "served_without_row": report.served_without_row,
             "sends_outside_networks": report.sends_outside_networks,
-            "worst_drain_ms": report.worst_drain_ms.round(), "registry_away_s": AWAY_S,
-            "served_while_away": share(REGISTRY_AWAY), "served_beside_well_registry": share(REGISTRY_WORKS)})
+            "worst_drain_ms": report.worst_drain_ms.round(), "registry_away_s": OUTAGE_S,
+            "served_while_away": share(OUTAGE_SCENARIO), "served_beside_well_registry": share(BASELINE_SCENARIO)})
     }
 }
 
 fn print_outcome(name: &str, outcome: &ScenarioOutcome) {
     let ScenarioOutcome { report, missed, served_share } = outcome;
     println!(
-        "{name:<22} requests {:>5}  served {served_share:.4}  drains {}  worst {:>6.1} ms  \
-         violated drains {}  stale {}  doubled {}  outside {}{}",
+        "{name:<22} requests {:>5}  served {served_share:.4}  drains {}  worst drain {:>6.1} ms  \
+         violated drains {}  stale reads {}  writes run twice {}  sends outside networks {}{}",
         report.requests,
         report.drains,
         report.worst_drain_ms,
@@ -91,14 +92,14 @@
         report.stale_reads,
         report.doubled_writes,
         report.sends_outside_networks,
-        if missed.is_empty() { "" } else { "  MISSED" }
+        if missed.is_empty() { "" } else { "  EXPECTATIONS MISSED" }
     );
     for line in missed {
         println!("    {line}");
     }
 }
 
-/// Plays the scenarios, and prints a line for each and a JSON object for all; whether all came out as they should.
+/// Runs the scenarios, and prints a line for each and a JSON summary. Returns whether all checks passed.
 pub fn run(options: &Options) -> Result<bool, TestbedError> {
     let mut scenarios = match &options.file {
         Some(path) => Scenario::load(path)?,
@@ -106,8 +107,9 @@
     };
     scenarios.retain(|scenario| scenario.name.contains(&options.only));
     let program = default_program();
-    let outcomes =
-        run_in_parallel(&scenarios, options.at_a_time, |scenario| play(scenario, &program, options.seed));
+    let outcomes = run_in_parallel(&scenarios, options.max_parallel, |scenario| {
+        run_scenario(scenario, &program, options.seed)
+    });
     let mut summary = Summary::default();
     for (scenario, outcome) in scenarios.iter().zip(outcomes) {
         summary.add(scenario, outcome);
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,5 @@
-//! Something to look at: a fleet that is known from a registry alone, and a drain before the reader's eyes.
+//! A demonstration: a fleet that the pooler discovers only through a registry, and a server that drains and
+//! returns to service at regular intervals.
 
 use crate::clients::{ClientLoad, RequestClass};
 use crate::error::TestbedError;
@@ -14,22 +15,24 @@
 const SERVERS: usize = 4;
 const CLIENTS: usize = 4;
 const CLIENT_PAUSE: Duration = Duration::from_millis(10);
-/// A drain begins and ends so many seconds into each round.
-const ROUND_S: u64 = 12;
+/// Length of a cycle, in seconds. In each cycle the server [`DRAINED_SERVER`] drains once.
+const CYCLE_S: u64 = 12;
+/// Seconds into each cycle at which the server starts to drain.
 const DRAIN_AT_S: u64 = 4;
+/// Seconds into each cycle at which the server returns to service.
 const RETURN_AT_S: u64 = 8;
-const DRAINED: &str = "s-3";
+const DRAINED_SERVER: &str = "s-3";
 
-/// Runs it until it is interrupted, or for so many seconds; 0 is for ever.
+/// Runs the demonstration for `seconds`, or until it is interrupted if `seconds` is 0.
 ///
 /// # Errors
 ///
-/// When something can't be started.
+/// Returns an error if the fleet or the pooler cannot be started, or the pooler does not terminate.
 pub fn run(program: &Path, seconds: u64) -> Result<(), TestbedError> {
     let mut fleet = Fleet::start(SERVERS, 1)?;
     let operator = fleet.operator_config("");
     let mut pooler = PoolerProcess::start_with_registry(program, &operator)?;
-    println!("The operator's file of this pooler:\n\n{operator}");
+    println!("The operator's file of the pooler:\n\n{operator}");
     print_addresses(&fleet, &pooler);
     let load = ClientLoad::start(pooler.address, CLIENTS, CLIENT_PAUSE, 1, &fleet.history);
     let started = Instant::now();
@@ -38,13 +41,13 @@
         if seconds > 0 && second > seconds {
             break;
         }
-        if second % ROUND_S == DRAIN_AT_S {
-            println!("      {DRAINED} drains");
-            fleet.perform(&Action::Drain(DRAINED.into()), &pooler)?;
+        if second % CYCLE_S == DRAIN_AT_S {
+            println!("      {DRAINED_SERVER} drains");
+            fleet.perform(&Action::Drain(DRAINED_SERVER.into()), &pooler)?;
         }
-        if second % ROUND_S == RETURN_AT_S {
-            println!("      {DRAINED} is up again");
-            fleet.perform(&Action::ReturnToService(DRAINED.into()), &pooler)?;
+        if second % CYCLE_S == RETURN_AT_S {
+            println!("      {DRAINED_SERVER} returns to service");
+            fleet.perform(&Action::ReturnToService(DRAINED_SERVER.into()), &pooler)?;
         }
         let until = SECOND * u32::try_from(second).unwrap_or(u32::MAX);
         std::thread::sleep(until.saturating_sub(started.elapsed()));
@@ -61,12 +64,12 @@
     let (registry, address) = (fleet.peers[0].address, pooler.address);
     let (host, port) = (address.ip(), address.port());
     let classes = RequestClass::ALL.map(RequestClass::name).join(", ");
-    println!("The registry: curl -H 'Accept: application/json' http://{registry}/eureka/apps");
-    println!("The pooler:   psql 'host={host} port={port} user=backend dbname=store sslmode=disable'");
+    println!("Registry:     curl -H 'Accept: application/json' http://{registry}/eureka/apps");
+    println!("Pooler:       psql 'host={host} port={port} user=backend dbname=store sslmode=disable'");
     println!(
-        "and there:    SELECT content FROM kv WHERE name = 'acc1' /* id=mine1,c=usage-history,d=900,cluster=2 */;"
+        "Query:        SELECT content FROM kv WHERE name = 'acc1' /* id=mine1,c=usage-history,d=900,cluster=2 */;"
     );
-    println!("(each request has an id of its own; classes are {classes})\n");
+    println!("(each request needs a unique id; the request classes are {classes})\n");
 }
 
 fn print_second(second: u64, fleet: &Fleet, before: &RuleReport, now: &RuleReport) {
@@ -76,7 +79,7 @@
     };
     let sends: Vec<String> = fleet.servers.keys().map(sent).collect();
     println!(
-        "{second:>4}s asked {:>4}  served {:>4}  sent to {}  late to a draining server {}",
+        "{second:>4}s requests {:>4}  served {:>4}  sent to {}  late sends to draining servers {}",
         now.requests - before.requests,
         now.served - before.served,
         sends.join("  "),
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -1,46 +1,47 @@
-//! What can keep a run of the testbed from being played.
+//! Errors that prevent a run of the testbed from completing.
 
 use crate::scenario::ScenarioError;
 use std::process::ExitStatus;
 
-/// Why a run could not be played. What the pooler does wrong in a run is no error, but part of the run's outcome.
+/// An error that prevents a run from completing. Faults of the pooler in a run are not errors, but part of the
+/// run's outcome.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// A socket, file or process could not be had.
+    /// An operation on a socket, a file or a process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The pooler's first log line does not end with its address.
-    #[error("no address in '{line}'")]
+    /// The pooler's first log line does not end with its listen address.
+    #[error("no listen address at the end of the pooler's first log line: '{line}'")]
     NoListenAddress {
-        /// The line.
+        /// The first log line.
         line: String,
     },
-    /// The pooler ended while a log line was waited for.
-    #[error("the pooler ended with {status}:\n{log}")]
+    /// The pooler exited before it logged an expected line.
+    #[error("the pooler exited with {status}; its log:\n{log}")]
     PoolerEnded {
-        /// How it ended.
+        /// The exit status of the pooler.
         status: ExitStatus,
-        /// All that it logged.
+        /// The complete log of the pooler.
         log: String,
     },
-    /// The pooler did not log what was waited for.
-    #[error("no line with '{text}':\n{log}")]
+    /// The pooler did not log an expected line within [`PATIENCE`](crate::PATIENCE).
+    #[error("the pooler logged no line containing '{text}'; its log:\n{log}")]
     NoLogLine {
-        /// What the line had to hold.
+        /// The text that the line must contain.
         text: String,
-        /// All that it logged.
+        /// The complete log of the pooler.
         log: String,
     },
-    /// The pooler did not end when it was told to.
-    #[error("the pooler does not end")]
+    /// The pooler did not exit within [`PATIENCE`](crate::PATIENCE).
+    #[error("the pooler did not exit in time")]
     PoolerDoesNotEnd,
-    /// Something did not happen in time.
-    #[error("waited in vain: {0}")]
+    /// A condition was not met within [`PATIENCE`](crate::PATIENCE).
+    #[error("timed out waiting for: {0}")]
     TimedOut(&'static str),
-    /// The system does not give a figure of a process.
-    #[error("no {0} of the process")]
+    /// The operating system does not report a figure of a process.
+    #[error("cannot determine {0} of the process")]
     NoProcessFigure(&'static str),
-    /// A file of scenarios is of no use.
+    /// A scenario file cannot be read or parsed.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,7 +1,9 @@
-//! A testbed for the pooler, all of it on loopback: a fake Eureka registry that can be made to lag, err and vanish, fake
-//! PostgreSQL servers, clients that check what they are answered, and a model checker for the routing decisions.
+//! A testbed for the pooler on loopback: a fake Eureka registry that can be made to lag, return errors and
+//! become unavailable, fake PostgreSQL servers, clients that check their responses, and a model checker for the
+//! routing decisions.
 //!
-//! What a run reports is counted here, from what passed on the sockets, and never by the pooler.
+//! The testbed counts the figures that it reports itself, from the traffic on its sockets. It takes none from the
+//! pooler.
 
 pub mod clients;
 pub mod demo;
@@ -24,33 +26,36 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long anything may take that is waited for; it only keeps a broken run from hanging.
+/// Timeout of every wait in the testbed; its only purpose is to keep a broken run from hanging.
 pub const PATIENCE: Duration = Duration::from_secs(30);
-/// How often something that is waited for is looked at.
+/// Interval at which a wait checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The lock, even after a holder has panicked: what was counted until then still counts.
+/// Locks the mutex, also if it is poisoned: the counts recorded before a thread panicked remain valid.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Waits until something holds.
+/// Polls a condition until it is met. `condition` describes it in the error.
 ///
 /// # Errors
 ///
-/// When it does not hold in time.
-pub fn wait_until(what: &'static str, mut holds: impl FnMut() -> bool) -> Result<(), error::TestbedError> {
-    let give_up_at = Instant::now() + PATIENCE;
-    while Instant::now() < give_up_at {
-        if holds() {
+/// Returns [`error::TestbedError::TimedOut`] if the condition is not met within [`PATIENCE`].
+pub fn wait_until(
+    condition: &'static str,
+    mut is_met: impl FnMut() -> bool,
+) -> Result<(), error::TestbedError> {
+    let deadline = Instant::now() + PATIENCE;
+    while Instant::now() < deadline {
+        if is_met() {
             return Ok(());
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    Err(error::TestbedError::TimedOut(what))
+    Err(error::TestbedError::TimedOut(condition))
 }
 
-/// Unix time in milliseconds.
+/// The current Unix time in milliseconds.
 #[must_use]
 pub fn unix_ms() -> i64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Fake servers, scenarios and a model checker around the pooler, on loopback only.
+/// Tests the pooler with fake servers, scenarios and a model checker, on loopback only.
 #[derive(Parser)]
 #[command(name = "pooler-testbed", version)]
 struct Cli {
@@ -21,57 +21,57 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play scenarios against a fake registry, and print what came out as one JSON object.
+    /// Run scenarios against a fake Eureka registry; prints a line for each and a JSON summary.
     Eureka {
-        /// A file of scenarios; the built-in ones without it.
+        /// Scenario file; the built-in scenarios by default.
         #[arg(long)]
         script: Option<PathBuf>,
-        /// Only scenarios whose names hold this.
+        /// Run only scenarios whose names contain this text.
         #[arg(long, default_value = "")]
         only: String,
-        /// For the clients' choices.
+        /// Seed of the clients' random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Scenarios that are played at the same time.
+        /// Maximum number of scenarios that run in parallel.
         #[arg(long, default_value_t = 3)]
         side_by_side: usize,
     },
-    /// Measure what registries of different sizes cost the pooler, a JSON object a line.
+    /// Measure the pooler's CPU and memory use by size of the registry; prints a JSON object per size.
     EurekaBench {
-        /// Instances.
+        /// Numbers of registered instances to measure with.
         #[arg(long, value_delimiter = ',', default_value = "200,2000,20000")]
         sizes: Vec<usize>,
     },
-    /// Have a primary die at each point of a write, in each way, and hand over by plan; print what came out.
+    /// Crash the primary at each point of a write in each mode, and hand over as planned; prints the outcomes.
     Primary {
-        /// Only cases whose names hold this.
+        /// Run only cases whose names contain this text.
         #[arg(long, default_value = "")]
         only: String,
-        /// Cases that are played at the same time.
+        /// Maximum number of cases that run in parallel.
         #[arg(long, default_value_t = 4)]
         side_by_side: usize,
-        /// How often each case is played.
+        /// Number of runs of each case.
         #[arg(long, default_value_t = 1)]
         times: usize,
     },
-    /// Check the decisions through all orders of a change of primary, within bounds.
+    /// Model-check the routing decisions in all orders of events around a change of primary, within bounds.
     Model {
-        /// Routers.
+        /// Number of routers.
         #[arg(long, default_value_t = 2)]
         routers: usize,
-        /// Writes asked of each.
+        /// Writes requested from each router.
         #[arg(long, default_value_t = 1)]
         writes: usize,
-        /// Responses lost beside those that a death loses.
+        /// Responses that may be lost in addition to those lost when the primary dies.
         #[arg(long, default_value_t = 1)]
         losses: u8,
-        /// Routers that crash.
+        /// Maximum number of router crashes.
         #[arg(long, default_value_t = 1)]
         crashes: u8,
     },
-    /// A registry, servers, a pooler and clients on loopback, to look at.
+    /// Run a registry, servers, a pooler and clients on loopback, and print the traffic each second.
     Demo {
-        /// Ends after so many seconds; 0 is for ever.
+        /// Seconds to run; 0 runs until interrupted.
         #[arg(long, default_value_t = 0)]
         seconds: u64,
     },
@@ -88,7 +88,7 @@
     }
 }
 
-/// Runs a command; whether all came out as it should.
+/// Runs a command, and returns whether all checks passed.
 fn run(command: Command) -> Result<bool, TestbedError> {
     match command {
         Command::Eureka { script, only, seed, side_by_side } => {
@@ -96,14 +96,15 @@
                 file: script,
                 only,
                 seed,
-                at_a_time: side_by_side,
+                max_parallel: side_by_side,
             })
         }
         Command::Primary { only, side_by_side, times } => {
-            failover::run(&failover::Options { only, at_a_time: side_by_side, times })
+            failover::run(&failover::Options { only, max_parallel: side_by_side, times })
         }
         Command::Model { routers, writes, losses, crashes } => {
-            let bounds = Bounds { routers, writes, losses, crashes, drains: true, wrong_reset: false };
+            let bounds =
+                Bounds { routers, writes, losses, crashes, drains: true, treats_reset_as_unsent: false };
             Ok(model::run(bounds))
         }
         Command::EurekaBench { sizes } => registry_benchmark::run(&sizes).map(|()| true),
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,6 +1,5 @@
-//! Model checking of the decisions themselves: the same [`Router`] that serves, stepped by
-//! stateright through all orders in which a change of primary, responses, losses, a crash of a router and a drain can
-//! fall, within stated bounds.
+//! A model checker for the routing decisions. Stateright drives the production [`Router`] through all orders of
+//! a change of primary, responses, lost responses, router crashes and drain reports, within given bounds.
 
 mod system;
 
@@ -10,55 +9,55 @@
 use system::{DEADLINE_MS, END_MS, ENDPOINTS, WriteOutcome, endpoint_entry, settings};
 pub use system::{SystemState, Violation};
 
-const RULES_HOLD: &str = "the rules hold";
-const WRITE_SURVIVES: &str = "a write survives the change";
-/// A restarted router's seed is this much more than its first.
-const RESTARTED_SEED: u64 = 100;
+const RULES_HOLD: &str = "no rule is violated";
+const RETRIED_WRITE_SERVED: &str = "the primary died and a retried write was served";
+/// Difference between the seeds of a router after and before its restart.
+const RESTART_SEED_OFFSET: u64 = 100;
 const OLD_PRIMARY: usize = 0;
 
-/// How far the exploration goes, and what is wrong on purpose.
+/// The bounds of the exploration, and a fault to seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Writes that clients ask of each router.
+    /// Number of writes that clients request from each router.
     pub writes: usize,
-    /// Responses that may be lost beside those that a death loses.
+    /// Maximum number of responses lost in addition to those lost when the primary dies.
     pub losses: u8,
-    /// Routers that may crash.
+    /// Maximum number of router crashes.
     pub crashes: u8,
     /// Whether a drain of the primary may be reported.
     pub drains: bool,
-    /// A host that takes a reset for proof that nothing ran, so that writes are retried after it. The check has to find
-    /// this.
-    pub wrong_reset: bool,
+    /// Whether to seed a fault: the router is told that a reset connection was lost before the request was sent,
+    /// and retries writes that may have run. The check must find the fault.
+    pub treats_reset_as_unsent: bool,
 }
 
-/// What can happen next.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// A client asks a router for its next write.
+    /// A client sends its next write to this router.
     Request(usize),
-    /// Time goes on.
+    /// Time advances by one step.
     Tick,
-    /// An attempt ends as its endpoint has it.
+    /// An attempt ends: its endpoint responds or refuses the connection, or the response is lost.
     CompleteAttempt {
-        /// Which of those in flight.
+        /// The index of the attempt among those in flight.
         attempt: usize,
-        /// Whether its response gets lost on the way.
+        /// Whether the response is lost.
         lost: bool,
-        /// Whether a lost one ran before that.
+        /// Whether the write ran before its response was lost.
         ran: bool,
     },
     /// The primary dies.
     KillPrimary,
-    /// An endpoint takes over.
+    /// This endpoint becomes the primary.
     Promote(usize),
-    /// The old primary is back as a replica.
+    /// The old primary returns as a replica.
     Revive,
-    /// A router crashes and starts from its first endpoint list.
+    /// This router crashes and restarts with the initial endpoint list.
     CrashRouter(usize),
-    /// A router is told that the primary drains.
+    /// This router receives an update that reports the primary as draining.
     ReportDrain(usize),
 }
 
@@ -88,7 +87,7 @@
             self.add_attempt_transitions(state, attempt, transitions);
         }
         match state.primary {
-            Some(OLD_PRIMARY) if !state.has_changed => transitions.push(Transition::KillPrimary),
+            Some(OLD_PRIMARY) if !state.has_primary_died => transitions.push(Transition::KillPrimary),
             None => transitions.extend((1..ENDPOINTS).map(Transition::Promote)),
             Some(1..) if !state.is_alive[OLD_PRIMARY] && !state.is_revived => {
                 transitions.push(Transition::Revive);
@@ -103,14 +102,14 @@
             Transition::Tick => state.tick(),
             Transition::Request(router) => {
                 let write = state.next_write(router)?;
-                state.request(router, write);
+                state.request_write(router, write);
             }
             Transition::CompleteAttempt { attempt, lost, ran } => {
                 self.complete_attempt(&mut state, attempt, lost, ran);
             }
             Transition::KillPrimary => {
                 state.is_alive[OLD_PRIMARY] = false;
-                (state.primary, state.has_changed) = (None, true);
+                (state.primary, state.has_primary_died) = (None, true);
             }
             Transition::Promote(endpoint) => state.primary = Some(endpoint),
             Transition::Revive => {
@@ -120,8 +119,8 @@
             Transition::CrashRouter(router) => state.crash_router(router),
             Transition::ReportDrain(router) => {
                 state.is_drain_reported[router] = true;
-                let drains = vec![endpoint_entry(OLD_PRIMARY, Lifecycle::Draining)];
-                state.report(router, Event::EndpointUpdate(EndpointUpdate::Delta(drains)));
+                let entries = vec![endpoint_entry(OLD_PRIMARY, Lifecycle::Draining)];
+                state.handle_event(router, Event::EndpointUpdate(EndpointUpdate::Delta(entries)));
             }
         }
         Some(state)
@@ -130,11 +129,11 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always(RULES_HOLD, |_, state| state.violation.is_none()),
-            // Else the check would show nothing.
-            Property::<Self>::sometimes(WRITE_SURVIVES, |_, state| {
+            // Without a retried write that is served, the absence of violations would prove nothing.
+            Property::<Self>::sometimes(RETRIED_WRITE_SERVED, |_, state| {
                 let retried = state.writes.iter().flatten().filter(|write| write.sends > 1);
                 let mut served = retried.filter(|write| write.outcomes == [WriteOutcome::Served]);
-                state.has_changed && served.next().is_some()
+                state.has_primary_died && served.next().is_some()
             }),
         ]
     }
@@ -148,7 +147,7 @@
         if state.crashes < self.0.crashes {
             transitions.push(Transition::CrashRouter(router));
         }
-        if self.0.drains && !state.is_drain_reported[router] && !state.has_changed {
+        if self.0.drains && !state.is_drain_reported[router] && !state.has_primary_died {
             transitions.push(Transition::ReportDrain(router));
         }
     }
@@ -159,28 +158,29 @@
         attempt: usize,
         transitions: &mut Vec<Transition>,
     ) {
-        let of = &state.attempts[attempt];
-        let is_alive = state.is_alive[of.endpoint];
-        if is_alive || of.is_refused {
+        let in_flight = &state.attempts[attempt];
+        let is_alive = state.is_alive[in_flight.endpoint];
+        if is_alive || in_flight.is_refused {
             transitions.push(Transition::CompleteAttempt { attempt, lost: false, ran: false });
         }
-        // What was sent to a primary may get lost beside a death, or with it.
-        let is_primary = state.primary == Some(of.endpoint);
-        let lost_by_chance = is_alive && state.losses < self.0.losses && is_primary;
-        if !of.is_refused && (lost_by_chance || !is_alive) {
+        // Responses of an endpoint that died after the dispatch are lost; those of a live primary may be lost
+        // within the bound.
+        let is_primary = state.primary == Some(in_flight.endpoint);
+        let may_lose_response = is_alive && state.losses < self.0.losses && is_primary;
+        if !in_flight.is_refused && (may_lose_response || !is_alive) {
             transitions.push(Transition::CompleteAttempt { attempt, lost: true, ran: false });
-            if of.to_primary {
+            if in_flight.to_primary {
                 transitions.push(Transition::CompleteAttempt { attempt, lost: true, ran: true });
             }
         }
     }
 
     fn complete_attempt(&self, state: &mut SystemState, attempt: usize, lost: bool, ran: bool) {
-        let of = &state.attempts[attempt];
-        let (is_refused, is_primary) = (of.is_refused, state.primary == Some(of.endpoint));
+        let in_flight = &state.attempts[attempt];
+        let (is_refused, is_primary) = (in_flight.is_refused, state.primary == Some(in_flight.endpoint));
         if lost {
-            state.losses += u8::from(state.is_alive[of.endpoint]);
-            let outcome = if self.0.wrong_reset {
+            state.losses += u8::from(state.is_alive[in_flight.endpoint]);
+            let outcome = if self.0.treats_reset_as_unsent {
                 AttemptOutcome::ConnectionLostBeforeSend
             } else {
                 AttemptOutcome::ConnectionReset
@@ -196,18 +196,18 @@
     }
 }
 
-/// What a check found.
+/// The result of a check.
 #[derive(Clone, Debug)]
 pub struct CheckResult {
-    /// Different states.
+    /// Number of distinct states explored.
     pub states: usize,
-    /// What went wrong, with the transitions that lead there.
+    /// A violated rule and the transitions that lead to the violation, if any was found.
     pub violation: Option<(Violation, Vec<Transition>)>,
-    /// Whether some write was served after having been sent more than once.
-    pub write_survives: bool,
+    /// Whether a state was found in which the primary had died and a write sent more than once was served.
+    pub retried_write_served: bool,
 }
 
-/// Checks all states within these bounds.
+/// Explores all states within the bounds, breadth first, on this number of threads.
 #[must_use]
 pub fn check(bounds: Bounds, threads: usize) -> CheckResult {
     let checker = FailoverModel(bounds).checker().threads(threads).spawn_bfs().join();
@@ -216,21 +216,22 @@
         let violation = path.last_state().violation?;
         Some((violation, path.clone().into_actions()))
     });
-    let write_survives = discoveries.contains_key(WRITE_SURVIVES);
-    CheckResult { states: checker.unique_state_count(), violation, write_survives }
+    let retried_write_served = discoveries.contains_key(RETRIED_WRITE_SERVED);
+    CheckResult { states: checker.unique_state_count(), violation, retried_write_served }
 }
 
 impl SystemState {
-    /// A router dies with all that it had in flight, and starts anew.
+    /// Crashes and restarts a router. Its attempts in flight are lost, and its writes without a final response
+    /// get none.
     fn crash_router(&mut self, router: usize) {
         self.crashes += 1;
-        self.attempts.retain(|of| of.router != router);
+        self.attempts.retain(|in_flight| in_flight.router != router);
         for write in self.writes[router].iter_mut().filter(|write| write.outcomes.is_empty()) {
             write.is_orphaned = true;
         }
-        self.routers[router] = Router::new(router as u64 + RESTARTED_SEED, settings());
+        self.routers[router] = Router::new(router as u64 + RESTART_SEED_OFFSET, settings());
         self.timers[router] = None;
         self.is_drain_reported[router] = false;
-        self.report_first_endpoints(router);
+        self.report_initial_endpoints(router);
     }
 }
--- a/crates/testbed/src/model/system.rs
+++ b/crates/testbed/src/model/system.rs
@@ -1,4 +1,4 @@
-//! A state of the system: routers, endpoints, attempts in flight, and writes as their clients see them.
+//! A state of the model: routers, endpoints, attempts in flight, and writes as their clients see them.
 
 use pooler_routing::{
     Action, AttemptCompletion, AttemptNumber, AttemptOutcome, ClassId, EndpointEntry, EndpointId,
@@ -10,51 +10,52 @@
 use std::sync::Arc;
 
 pub const ENDPOINTS: usize = 3;
-/// What clients grant a write.
+/// Time from the request of a write to its deadline.
 pub const DEADLINE_MS: i64 = 500;
-/// How far time is followed.
+/// The model's time after which it does not advance any more.
 pub const END_MS: i64 = 800;
-/// Time goes on in steps, with each timer in them at its own moment.
+/// Time advances in steps of this length; each timer within a step fires at its own time.
 const STEP_MS: i64 = 200;
-/// A timer asks for the next one 10 ms later at the soonest; more than these do not fire in a step.
+/// Maximum number of timers and timeouts that fire in a step. A router sets its next timer at least 10 ms after
+/// the last.
 const MAX_TIMERS_IN_STEP: usize = 400;
-/// A final answer may come so long after the deadline.
-const ANSWER_AFTER_DEADLINE_MS: i64 = 20;
-/// When the time of the model begins.
+/// Time after the deadline within which a final response is still accepted.
+const DEADLINE_TOLERANCE_MS: i64 = 20;
+/// The routers' timestamp, in microseconds, at the start of the model's time.
 const START_US: i64 = 1_000_000_000;
-const MICROSECONDS: i64 = 1_000;
+const MICROSECONDS_PER_MS: i64 = 1_000;
 const GROUP: GroupId = GroupId(1);
-const HEALTH_CHECK: TimeDelta = TimeDelta::from_millis(1);
+const HEALTH_CHECK_DURATION: TimeDelta = TimeDelta::from_millis(1);
 
-/// Something that must never happen.
+/// A violated rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A request was sent to an endpoint that the router knew to drain.
+    /// A request was sent to an endpoint after its drain was reported to the router.
     SentToDraining,
-    /// A request was sent after its final answer.
-    SentAfterAnswer,
+    /// A request was sent after its final response.
+    SentAfterFinalResponse,
     /// Two attempts of a write were in flight at once.
-    TwoAttempts,
-    /// A write had two final answers.
-    TwoAnswers,
-    /// A write was rejected that ran or still may.
-    RejectedThoughItMayRun,
+    ConcurrentAttempts,
+    /// A write had two final responses.
+    TwoFinalResponses,
+    /// A write was rejected although it ran or still may run.
+    RejectedButMayRun,
     /// A write ran twice.
     RanTwice,
-    /// A write had no answer by its deadline.
-    NoAnswer,
+    /// A write had no final response by its deadline, including the tolerance.
+    NoFinalResponse,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::SentToDraining => "sent to an endpoint after its drain was reported",
-            Self::SentAfterAnswer => "sent after its final answer",
-            Self::TwoAttempts => "two attempts in flight at once",
-            Self::TwoAnswers => "two final answers",
-            Self::RejectedThoughItMayRun => "rejected, though it ran or still may",
+            Self::SentToDraining => "a request was sent to an endpoint after its drain was reported",
+            Self::SentAfterFinalResponse => "a request was sent after its final response",
+            Self::ConcurrentAttempts => "two attempts of a write were in flight at once",
+            Self::TwoFinalResponses => "a write had two final responses",
+            Self::RejectedButMayRun => "a write was rejected although it ran or still may run",
             Self::RanTwice => "a write ran twice",
-            Self::NoAnswer => "no answer by the deadline",
+            Self::NoFinalResponse => "a write had no final response by its deadline",
         })
     }
 }
@@ -68,13 +69,13 @@
     pub endpoint: usize,
     sent_ms: i64,
     times_out_ms: i64,
-    /// The endpoint was the primary when it was sent.
+    /// Whether the endpoint was the primary when the attempt was sent.
     pub to_primary: bool,
-    /// The endpoint was down when it was sent, and refused it.
+    /// Whether the endpoint was down when the attempt was sent, and refused the connection.
     pub is_refused: bool,
 }
 
-/// A final answer.
+/// The final response to a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     Served,
@@ -82,18 +83,18 @@
     Failed,
 }
 
-/// A write, as its client and the endpoints see it.
+/// A write as seen by its client and the endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Write {
-    asked_ms: Option<i64>,
+    requested_ms: Option<i64>,
     executions: u8,
     pub sends: u32,
     pub outcomes: Vec<WriteOutcome>,
-    /// Its router crashed, so that its client gets no answer.
+    /// Whether the router crashed before the write had a final response, so that its client gets none.
     pub is_orphaned: bool,
 }
 
-/// A state of the system.
+/// A state of the model.
 #[derive(Clone)]
 pub struct SystemState {
     pub(super) now_ms: i64,
@@ -101,11 +102,11 @@
     pub(super) timers: Vec<Option<i64>>,
     pub(super) is_drain_reported: Vec<bool>,
     pub(super) attempts: Vec<Attempt>,
-    /// By router, then by number.
+    /// Indexed by router, then by write.
     pub(super) writes: Vec<Vec<Write>>,
     pub(super) is_alive: [bool; ENDPOINTS],
     pub(super) primary: Option<usize>,
-    pub(super) has_changed: bool,
+    pub(super) has_primary_died: bool,
     pub(super) is_revived: bool,
     pub(super) losses: u8,
     pub(super) crashes: u8,
@@ -124,7 +125,7 @@
             self.writes,
             self.is_alive,
             self.primary,
-            self.has_changed,
+            self.has_primary_died,
             self.is_revived,
             self.losses,
             self.crashes,
@@ -150,21 +151,21 @@
     EndpointId(Arc::from(format!("s-{endpoint}")))
 }
 
-/// The number of an endpoint.
-fn endpoint_number(id: &EndpointId) -> usize {
-    (0..ENDPOINTS).find(|number| endpoint_id(*number) == *id).unwrap_or(0)
+/// The index of the endpoint with this id.
+fn endpoint_index(id: &EndpointId) -> usize {
+    (0..ENDPOINTS).find(|index| endpoint_id(*index) == *id).unwrap_or(0)
 }
 
 fn request_id(write: usize) -> RequestId {
     RequestId(write as u64 + 1)
 }
 
-/// The number of a write.
-fn write_number(id: RequestId) -> usize {
+/// The index of the write with this request id.
+fn write_index(id: RequestId) -> usize {
     id.0 as usize - 1
 }
 
-/// The entry of an endpoint, of which the first is listed as the primary.
+/// The endpoint list entry of an endpoint. Endpoint 0 is listed as the primary.
 pub fn endpoint_entry(endpoint: usize, lifecycle: Lifecycle) -> EndpointEntry {
     EndpointEntry {
         endpoint: endpoint_id(endpoint),
@@ -204,7 +205,8 @@
 }
 
 impl SystemState {
-    /// So many routers that know all endpoints, with so many writes to come at each.
+    /// The initial state: all routers know all endpoints, and no write has been requested. `writes` is the number
+    /// of writes per router.
     pub(super) fn new(routers: usize, writes: usize) -> Self {
         let mut state = Self {
             now_ms: 0,
@@ -215,7 +217,7 @@
             writes: vec![vec![Write::default(); writes]; routers],
             is_alive: [true; ENDPOINTS],
             primary: Some(0),
-            has_changed: false,
+            has_primary_died: false,
             is_revived: false,
             losses: 0,
             crashes: 0,
@@ -223,23 +225,24 @@
         };
         for router in 0..routers {
             state.routers.push(Router::new(router as u64, settings()));
-            state.report_first_endpoints(router);
+            state.report_initial_endpoints(router);
         }
         state
     }
 
-    /// Reports the endpoints as they were before all: all active, the first the primary.
-    pub(super) fn report_first_endpoints(&mut self, router: usize) {
+    /// Sends the initial endpoint list to a router: all endpoints are active, and endpoint 0 is the primary.
+    pub(super) fn report_initial_endpoints(&mut self, router: usize) {
         let entries = (0..ENDPOINTS).map(|endpoint| endpoint_entry(endpoint, Lifecycle::Active)).collect();
-        self.report(router, Event::EndpointUpdate(EndpointUpdate::Snapshot(entries)));
+        self.handle_event(router, Event::EndpointUpdate(EndpointUpdate::Snapshot(entries)));
     }
 
     fn timestamp(&self) -> Timestamp {
-        Timestamp(START_US + self.now_ms * MICROSECONDS)
+        Timestamp(START_US + self.now_ms * MICROSECONDS_PER_MS)
     }
 
-    /// Reports an event to a router, and carries out its actions; a health check is answered at once with what is true.
-    pub(super) fn report(&mut self, router: usize, event: Event) {
+    /// Passes an event to a router and performs the router's actions. A health check completes immediately and
+    /// reports the actual state of the endpoint.
+    pub(super) fn handle_event(&mut self, router: usize, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let (now, mut actions) = (self.timestamp(), Vec::new());
@@ -249,10 +252,10 @@
                     Action::Send { request, endpoint, timeout } => {
                         self.send(router, request, &endpoint, timeout);
                     }
-                    Action::Reject { request, .. } => self.answer(router, request, WriteOutcome::Rejected),
-                    Action::Fail { request } => self.answer(router, request, WriteOutcome::Failed),
+                    Action::Reject { request, .. } => self.respond(router, request, WriteOutcome::Rejected),
+                    Action::Fail { request } => self.respond(router, request, WriteOutcome::Failed),
                     Action::SetTimer { at } => {
-                        self.timers[router] = Some((at.0 - START_US).div_euclid(MICROSECONDS) + 1);
+                        self.timers[router] = Some((at.0 - START_US).div_euclid(MICROSECONDS_PER_MS) + 1);
                     }
                     Action::HealthCheck { endpoint } => events.push(self.health_check_completed(endpoint)),
                     Action::Cancel { .. } | Action::Subscribe | Action::Log { .. } => {}
@@ -262,25 +265,25 @@
     }
 
     fn health_check_completed(&self, endpoint: EndpointId) -> Event {
-        let number = endpoint_number(&endpoint);
-        let is_primary = f64::from(u8::from(self.primary == Some(number)));
-        let report = vec![self.timestamp().0 as f64 / 1e6, is_primary];
-        let (outcome, load_report) = if self.is_alive[number] {
+        let index = endpoint_index(&endpoint);
+        let primary_flag = f64::from(u8::from(self.primary == Some(index)));
+        let report = vec![self.timestamp().0 as f64 / 1e6, primary_flag];
+        let (outcome, load_report) = if self.is_alive[index] {
             (AttemptOutcome::Ok, Some(report))
         } else {
             (AttemptOutcome::ConnectionRefused, None)
         };
-        Event::HealthCheckCompleted { endpoint, outcome, elapsed: HEALTH_CHECK, load_report }
+        Event::HealthCheckCompleted { endpoint, outcome, elapsed: HEALTH_CHECK_DURATION, load_report }
     }
 
-    /// The next write that a router's clients have not asked for.
+    /// The next write of a router that its clients have not requested yet.
     pub(super) fn next_write(&self, router: usize) -> Option<usize> {
-        self.writes[router].iter().position(|write| write.asked_ms.is_none() && !write.is_orphaned)
+        self.writes[router].iter().position(|write| write.requested_ms.is_none() && !write.is_orphaned)
     }
 
-    /// A client asks for a write.
-    pub(super) fn request(&mut self, router: usize, write: usize) {
-        self.writes[router][write].asked_ms = Some(self.now_ms);
+    /// Requests a write from a router.
+    pub(super) fn request_write(&mut self, router: usize, write: usize) {
+        self.writes[router][write].requested_ms = Some(self.now_ms);
         let request = Request {
             id: request_id(write),
             class: ClassId(0),
@@ -291,20 +294,20 @@
             since_last_write: None,
             expected_work: None,
         };
-        self.report(router, Event::Request(request));
+        self.handle_event(router, Event::Request(request));
     }
 
     fn send(&mut self, router: usize, request: RequestId, endpoint: &EndpointId, timeout: TimeDelta) {
-        let write = write_number(request);
-        let endpoint = endpoint_number(endpoint);
+        let write = write_index(request);
+        let endpoint = endpoint_index(endpoint);
         if self.is_drain_reported[router] && endpoint == 0 {
             self.violation = Some(Violation::SentToDraining);
         }
         if !self.writes[router][write].outcomes.is_empty() {
-            self.violation = Some(Violation::SentAfterAnswer);
+            self.violation = Some(Violation::SentAfterFinalResponse);
         }
         if self.is_in_flight(router, write) {
-            self.violation = Some(Violation::TwoAttempts);
+            self.violation = Some(Violation::ConcurrentAttempts);
         }
         let number = self.writes[router][write].sends;
         self.writes[router][write].sends += 1;
@@ -314,29 +317,29 @@
             number,
             endpoint,
             sent_ms: self.now_ms,
-            times_out_ms: self.now_ms + timeout.0.div_euclid(MICROSECONDS),
+            times_out_ms: self.now_ms + timeout.0.div_euclid(MICROSECONDS_PER_MS),
             to_primary: self.primary == Some(endpoint),
             is_refused: !self.is_alive[endpoint],
         });
     }
 
     fn is_in_flight(&self, router: usize, write: usize) -> bool {
-        self.attempts.iter().any(|of| of.router == router && of.write == write)
+        self.attempts.iter().any(|attempt| attempt.router == router && attempt.write == write)
     }
 
-    fn answer(&mut self, router: usize, request: RequestId, outcome: WriteOutcome) {
-        let number = write_number(request);
-        let is_in_flight = self.is_in_flight(router, number);
-        let write = &mut self.writes[router][number];
+    fn respond(&mut self, router: usize, request: RequestId, outcome: WriteOutcome) {
+        let index = write_index(request);
+        let is_in_flight = self.is_in_flight(router, index);
+        let write = &mut self.writes[router][index];
         write.outcomes.push(outcome);
         if write.outcomes.len() > 1 {
-            self.violation = Some(Violation::TwoAnswers);
+            self.violation = Some(Violation::TwoFinalResponses);
         } else if outcome == WriteOutcome::Rejected && (write.executions > 0 || is_in_flight) {
-            self.violation = Some(Violation::RejectedThoughItMayRun);
+            self.violation = Some(Violation::RejectedButMayRun);
         }
     }
 
-    /// An attempt ends with this outcome, after having run or not.
+    /// Completes an attempt with an outcome; `ran` tells whether the write ran at the endpoint.
     pub(super) fn complete_attempt(&mut self, attempt: usize, outcome: AttemptOutcome, ran: bool) {
         let Attempt { router, write, number, endpoint, sent_ms, to_primary, .. } =
             self.attempts.remove(attempt);
@@ -348,7 +351,7 @@
         let request = request_id(write);
         let is_served = outcome == AttemptOutcome::Ok;
         if is_served {
-            self.answer(router, request, WriteOutcome::Served);
+            self.respond(router, request, WriteOutcome::Served);
         }
         let role = if to_primary { Role::Primary } else { Role::Replica };
         let reports_role = matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::NotEligible);
@@ -363,34 +366,35 @@
             request_closed: is_served,
             load_report: None,
         };
-        self.report(router, Event::AttemptCompleted(completion));
+        self.handle_event(router, Event::AttemptCompleted(completion));
     }
 
-    /// Time goes on by a step, with each timer and each timeout in it at its own moment.
+    /// Advances the time by one step; each timer and timeout within the step fires at its own time.
     pub(super) fn tick(&mut self) {
         let target = self.now_ms + STEP_MS;
         for _ in 0..MAX_TIMERS_IN_STEP {
-            if !self.fire_next_before(target) {
+            if !self.fire_next_until(target) {
                 break;
             }
         }
         self.now_ms = target;
         let is_overdue = |write: &&Write| {
-            let asked = write.asked_ms;
-            asked.is_some_and(|asked| target > asked + DEADLINE_MS + ANSWER_AFTER_DEADLINE_MS)
+            let requested = write.requested_ms;
+            requested.is_some_and(|requested| target > requested + DEADLINE_MS + DEADLINE_TOLERANCE_MS)
         };
         let mut overdue = self.writes.iter().flatten().filter(is_overdue);
         if overdue.any(|write| write.outcomes.is_empty() && !write.is_orphaned) {
-            self.violation = Some(Violation::NoAnswer);
+            self.violation = Some(Violation::NoFinalResponse);
         }
     }
 
-    /// Goes on to the next timer or timeout up to a moment; false if there is none.
-    fn fire_next_before(&mut self, target: i64) -> bool {
+    /// Advances the time to the next timer or timeout no later than `target` and fires it. Returns false if there
+    /// is none.
+    fn fire_next_until(&mut self, target: i64) -> bool {
         let timers = self.timers.iter().enumerate();
         let timer = timers.filter_map(|(router, at)| at.map(|at| (at, router))).min();
         let timeouts = self.attempts.iter().enumerate();
-        let timeout = timeouts.map(|(attempt, of)| (of.times_out_ms, attempt)).min();
+        let timeout = timeouts.map(|(index, attempt)| (attempt.times_out_ms, index)).min();
         let next = timer.into_iter().chain(timeout).map(|(at, _)| at).min();
         let Some(next) = next.filter(|next| *next <= target) else { return false };
         self.now_ms = self.now_ms.max(next);
@@ -398,7 +402,7 @@
             self.complete_attempt(attempt, AttemptOutcome::Timeout, false);
         } else if let Some((_, router)) = timer {
             self.timers[router] = None;
-            self.report(router, Event::TimerFired);
+            self.handle_event(router, Event::TimerFired);
         }
         true
     }
--- a/crates/testbed/src/operator_config.rs
+++ b/crates/testbed/src/operator_config.rs
@@ -1,17 +1,17 @@
-//! The operator's file of a pooler that knows its endpoints from a registry alone.
+//! The operator's file of a pooler that discovers its endpoints only through a registry.
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The registry's record in an operator's file.
+/// The `registry` record of an operator's file.
 #[derive(Clone, Debug)]
 pub struct OperatorConfig {
-    /// The registry's servers.
+    /// Addresses of the registry's peers.
     pub peers: Vec<SocketAddr>,
-    /// How often the pooler polls.
+    /// Interval at which the pooler polls the registry.
     pub interval: Duration,
-    /// Further lines of the record.
+    /// Additional lines of the `registry` record.
     pub extra: Vec<String>,
 }
 
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: a fleet, its registry, and what happens to them when.
+//! Scenarios: a fleet, its registry, and the timed actions on them.
 
 use crate::fake_registry::ReadBehavior;
 use serde::{Deserialize, Serialize};
@@ -8,13 +8,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerRole {
-    /// It takes writes.
+    /// The server accepts writes.
     Primary,
-    /// It follows the primary.
+    /// The server replicates from the primary.
     Replica,
 }
 
-/// Something that happens. Servers are named by their ids, the registry's peers by their numbers.
+/// An action of a scenario. Servers are identified by id, and peers of the registry by number, starting at 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Action {
@@ -24,91 +24,91 @@
     ReturnToService(String),
     /// A server sets its own status to starting, with a later timestamp.
     SetStarting(String),
-    /// An operator sets a status over a server's own; the server's timestamp stays.
+    /// An operator overrides a server's own status with this status; the server's timestamp stays the same.
     OverrideStatus(String, String),
-    /// An operator takes that back; the server's timestamp stays.
+    /// An operator clears the status override of a server; the server's timestamp stays the same.
     ClearOverride(String),
     /// A server deregisters.
     Deregister(String),
-    /// A server of this id starts and registers.
+    /// A server with this id and role starts and registers.
     AddServer(String, ServerRole),
-    /// A server restarts: with a later timestamp and a later start.
+    /// A server restarts, with a later timestamp and a later start time.
     Restart(String),
-    /// A server listens elsewhere from now on, and updates its registration.
+    /// A server moves to another address and updates its registration.
     Move(String),
-    /// Another server registers under this id, with the same timestamp.
+    /// A second server registers under the id of an existing one, with the same timestamp.
     RegisterTwin(String),
-    /// Something registers outside of the networks in which servers may be.
+    /// An instance with this id registers an address outside of the networks that the operator's file allows.
     RegisterOutside(String),
-    /// A known server updates its registration to an address outside of them.
+    /// A registered server updates its registration to an address outside of the allowed networks.
     MoveOutside(String),
     /// The registry loses all registrations.
     ClearRegistry,
-    /// All servers that run register anew, one after another with so many ms between.
+    /// All servers register again, one after another with this pause in ms after each.
     ReregisterAll(u64),
-    /// A peer answers reads so from now on.
+    /// Sets how a peer answers reads from now on.
     SetBehavior(usize, ReadBehavior),
-    /// A peer knows nothing newer than so many ms.
+    /// Makes a peer serve the registrations as they were this many ms ago.
     SetPeerLag(usize, u64),
-    /// The clock of the registry and of the servers steps by so many ms.
+    /// Steps the clocks of the registry and of the servers by this many ms.
     StepClocks(i64),
-    /// A server falls behind the log by so many ms.
+    /// Makes a server lag behind the replication log by this many ms.
     SetReplicationLag(String, i64),
     /// A server goes down.
     TakeDown(String),
-    /// The pooler is told to end.
+    /// The pooler is told to terminate.
     TerminatePooler,
 }
 
-/// An action, and when it happens.
+/// An action and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// After so many ms.
+    /// Time of the action, in ms after the start of the scenario.
     pub at_ms: u64,
-    /// What happens.
+    /// The action to perform.
     pub action: Action,
 }
 
-/// What must come out, beside the rules.
+/// The expected outcome of a scenario, in addition to the rules that hold in every scenario.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expectation {
-    /// The least share of requests that is served.
+    /// The minimum share of requests that are served, from 0 to 1.
     pub served: f64,
-    /// Servers that receive nothing in the last part of the run.
+    /// Servers that receive no statement in the final window of the scenario.
     pub idle: Vec<String>,
-    /// Servers that do receive something there.
+    /// Servers that receive statements in the final window of the scenario.
     pub busy: Vec<String>,
-    /// Texts that the log holds.
+    /// Texts that the pooler's log contains.
     pub log: Vec<String>,
 }
 
-/// A scenario.
+/// A scenario as read from a scenario file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario, by which the command line selects it.
     pub name: String,
-    /// What it is about.
+    /// A summary for readers; the testbed does not evaluate it.
     pub description: String,
-    /// How many servers there are at the start; the first is the primary.
+    /// Number of servers at the start; the first is the primary.
     #[serde(default = "default_servers")]
     pub servers: usize,
-    /// How many peers the registry has.
+    /// Number of peers of the registry.
     #[serde(default = "default_peers")]
     pub peers: usize,
-    /// How long it lasts.
+    /// Duration of the scenario, in ms.
     pub duration_ms: u64,
-    /// A further line of the registry's record in the operator's file.
+    /// An additional line of the `registry` record in the operator's file.
     #[serde(default)]
     pub operator: String,
-    /// Whether peers write XML.
+    /// Whether peers send XML instead of JSON.
     #[serde(default)]
     pub xml: bool,
-    /// What happens.
+    /// The actions, in the order in which they are performed.
     pub steps: Vec<Step>,
-    /// What must come out.
+    /// The expected outcome.
     #[serde(default)]
     pub expect: Expectation,
 }
@@ -121,35 +121,35 @@
     1
 }
 
-/// Why a file of scenarios is of no use.
+/// An error in reading a scenario file.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// It can't be read.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read scenario file {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the scenario file.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It holds something else than scenarios.
-    #[error("{}: {source}", path.display())]
+    /// The file is not a sequence of valid scenarios.
+    #[error("invalid scenarios in {}: {source}", path.display())]
     Parse {
-        /// The file.
+        /// Path of the scenario file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The JSON error.
         source: serde_json::Error,
     },
 }
 
-const EUREKA_SCENARIOS: &str = "scenarios/eureka.json";
+const EUREKA_SCENARIOS_PATH: &str = "scenarios/eureka.json";
 
 impl Scenario {
-    /// Reads scenarios, one JSON object after another, from a file.
+    /// Reads a scenario file: a sequence of JSON objects, one for each scenario.
     ///
     /// # Errors
     ///
-    /// When it can't be read, or holds something else.
+    /// Returns an error if the file cannot be read or is not a sequence of valid scenarios.
     pub fn load(path: &Path) -> Result<Vec<Self>, ScenarioError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ScenarioError::Read { path: path.to_owned(), source })?;
@@ -160,9 +160,9 @@
     ///
     /// # Errors
     ///
-    /// When one is malformed.
+    /// Returns an error if a built-in scenario is malformed.
     pub fn eureka() -> Result<Vec<Self>, ScenarioError> {
-        Self::parse(Path::new(EUREKA_SCENARIOS), include_str!("../scenarios/eureka.json"))
+        Self::parse(Path::new(EUREKA_SCENARIOS_PATH), include_str!("../scenarios/eureka.json"))
     }
 
     fn parse(path: &Path, text: &str) -> Result<Vec<Self>, ScenarioError> {
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario: a fleet, a pooler that knows it from the registry alone, and clients. What comes out is in the
-//! history.
+//! Runs a scenario with a fleet, a pooler that discovers the fleet only through the registry, and clients.
+//! The history records the traffic.
 
 use crate::clients::ClientLoad;
 use crate::error::TestbedError;
@@ -12,29 +12,29 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 8;
-/// A client's pause between two requests.
+/// Pause of a client between a response and its next request.
 const CLIENT_PAUSE: Duration = Duration::from_millis(4);
-/// The first moments of a scenario, which do not count.
+/// Time at the start of a scenario whose requests are left out of the served share.
 const WARM_UP: Duration = Duration::from_millis(300);
-/// The part at a scenario's end in which servers are to be idle or busy.
-const LAST_PART: Duration = Duration::from_millis(700);
-/// A pooler that is told to end must have ended by then, whatever the registry does.
+/// Time at the end of a scenario in which servers are expected to be idle or busy.
+const FINAL_WINDOW: Duration = Duration::from_millis(700);
+/// Time limit for the pooler to exit after it is told to terminate, whatever the state of the registry.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
-/// How much of the log is shown where an expectation was missed.
+/// Number of log lines shown if an expectation was missed.
 const LOG_LINES_SHOWN: usize = 12;
 
-/// What came out of a scenario.
+/// The outcome of a scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioOutcome {
-    /// The rules, by the history.
+    /// The report on the rules, computed from the history.
     pub report: RuleReport,
-    /// What was expected and did not come, in words, and the end of the log if there is any.
+    /// Descriptions of the missed expectations, followed by the end of the pooler's log if there are any.
     pub missed: Vec<String>,
-    /// The share of requests that were served, without the first moments.
+    /// The share of requests that were served, not counting the warm-up at its start.
     pub served_share: f64,
 }
 
-/// How many statements some servers had received at some moment.
+/// Numbers of statements that the watched servers have received up to a point in time.
 struct SendCounts(Vec<usize>);
 
 impl SendCounts {
@@ -43,12 +43,13 @@
     }
 }
 
-/// Plays a scenario with the pooler at `program`.
+/// Runs a scenario with the pooler executable `program`. `seed` sets the clients' random choices.
 ///
 /// # Errors
 ///
-/// When it can't be played; what comes out wrong is no error.
-pub fn play(scenario: &Scenario, program: &Path, seed: u64) -> Result<ScenarioOutcome, TestbedError> {
+/// Returns an error if the scenario cannot be run. Missed expectations and violated rules are not errors, but
+/// part of the outcome.
+pub fn run_scenario(scenario: &Scenario, program: &Path, seed: u64) -> Result<ScenarioOutcome, TestbedError> {
     let mut fleet = Fleet::start(scenario.servers, scenario.peers)?;
     if scenario.operator.contains("lifts: \"override\"") {
         fleet.count_cleared_overrides();
@@ -68,7 +69,7 @@
         fleet.perform(&step.action, &pooler)?;
     }
     let end = Duration::from_millis(scenario.duration_ms);
-    sleep_until(end.saturating_sub(LAST_PART));
+    sleep_until(end.saturating_sub(FINAL_WINDOW));
     let Expectation { idle, busy, .. } = &scenario.expect;
     let watched: Vec<&String> = idle.iter().chain(busy).collect();
     let before = SendCounts::now(&history, &watched);
@@ -94,10 +95,11 @@
         return Vec::new();
     }
     let outcomes = lock(history).outcomes().clone();
-    vec![format!("served {served_share:.4} and not {}: {outcomes:?}", expect.served)]
+    vec![format!("served share {served_share:.4} is below {}; outcomes: {outcomes:?}", expect.served)]
 }
 
-/// Servers that received something at the end and should not have, or the other way round.
+/// Describes the servers that received statements in the final window though expected to be idle, or none though
+/// expected to be busy.
 fn missed_sends(
     expect: &Expectation,
     watched: &[&String],
@@ -105,11 +107,11 @@
     after: &SendCounts,
 ) -> Vec<String> {
     let mut missed = Vec::new();
-    for (at, id) in watched.iter().enumerate() {
-        let received = after.0[at] - before.0[at];
-        let should_be_idle = at < expect.idle.len();
+    for (index, id) in watched.iter().enumerate() {
+        let received = after.0[index] - before.0[index];
+        let should_be_idle = index < expect.idle.len();
         if should_be_idle != (received == 0) {
-            missed.push(format!("{id} received {received} at the end"));
+            missed.push(format!("{id} received {received} statements in the final window"));
         }
     }
     missed
@@ -118,17 +120,22 @@
 fn missed_log_lines(expect: &Expectation, pooler: &PoolerProcess) -> Vec<String> {
     let log = pooler.log();
     let is_missing = |text: &&String| !log.iter().any(|line| line.contains(*text));
-    expect.log.iter().filter(is_missing).map(|text| format!("no '{text}' in the log")).collect()
+    expect
+        .log
+        .iter()
+        .filter(is_missing)
+        .map(|text| format!("the pooler's log does not contain '{text}'"))
+        .collect()
 }
 
-/// Ends the pooler, which a registry that is away must not delay.
+/// Terminates the pooler. An unavailable registry must not delay its exit.
 fn missed_shutdown(pooler: &mut PoolerProcess) -> Result<Vec<String>, TestbedError> {
-    let began = Instant::now();
+    let started = Instant::now();
     pooler.terminate()?;
     let status = pooler.wait()?;
-    let took = began.elapsed();
-    if status.success() && took <= SHUTDOWN_LIMIT {
+    let elapsed = started.elapsed();
+    if status.success() && elapsed <= SHUTDOWN_LIMIT {
         return Ok(Vec::new());
     }
-    Ok(vec![format!("it ended with {status} after {took:?}")])
+    Ok(vec![format!("the pooler exited with {status} after {elapsed:?}")])
 }
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -1,20 +1,20 @@
-//! The decisions through all orders of a change of primary, within bounds that a test can afford.
+//! Model checks of the routing decisions around a change of primary, with bounds small enough for a test.
 
 use pooler_testbed::model::{Bounds, Violation, check};
 
-const SMALL: Bounds =
-    Bounds { routers: 1, writes: 1, losses: 1, crashes: 1, drains: true, wrong_reset: false };
+const SMALL_BOUNDS: Bounds =
+    Bounds { routers: 1, writes: 1, losses: 1, crashes: 1, drains: true, treats_reset_as_unsent: false };
 
 #[test]
-fn the_rules_hold_in_all_orders_of_a_change_of_primary() {
-    let result = check(SMALL, 2);
+fn no_rule_is_violated_in_any_order_of_events_around_a_change_of_primary() {
+    let result = check(SMALL_BOUNDS, 2);
     assert!(result.violation.is_none(), "{:?}", result.violation);
-    assert!(result.write_survives && result.states > 1_000, "{} states", result.states);
+    assert!(result.retried_write_served && result.states > 1_000, "{} states", result.states);
 }
 
 #[test]
-fn a_retry_after_a_reset_is_found_as_a_violation() {
-    let result = check(Bounds { wrong_reset: true, ..SMALL }, 2);
-    let (violation, transitions) = result.violation.expect("it runs twice somewhere");
+fn retrying_a_write_after_a_connection_reset_is_found_as_a_violation() {
+    let result = check(Bounds { treats_reset_as_unsent: true, ..SMALL_BOUNDS }, 2);
+    let (violation, transitions) = result.violation.expect("the check found no violation");
     assert_eq!(violation, Violation::RanTwice, "{transitions:?}");
 }
