--- a/crates/testbed/src/commands/failover.rs
+++ b/crates/testbed/src/commands/failover.rs
@@ -38,7 +38,7 @@
         Self { checked, seeded_fault }
     }
 
-    fn is_good(&self) -> bool {
+    fn has_passed(&self) -> bool {
         self.checked.violation.is_none() && self.seeded_fault.violation.is_some()
     }
 }
@@ -48,7 +48,7 @@
 struct Summary {
     cases: usize,
     /// Cases in which the primary did not reach its crash point.
-    did_not_happen: usize,
+    crash_not_reached: usize,
     writes: usize,
     /// Writes that ran more than once.
     doubled: usize,
@@ -69,7 +69,7 @@
 impl Summary {
     fn add(&mut self, case: FailoverCase, outcome: &FailoverOutcome) {
         self.cases += 1;
-        self.did_not_happen += usize::from(!outcome.happened);
+        self.crash_not_reached += usize::from(!outcome.happened);
         self.writes += outcome.writes;
         self.doubled += outcome.doubled;
         self.served_without_row += outcome.served_without_row;
@@ -89,20 +89,20 @@
         }
     }
 
-    fn is_good(&self) -> bool {
+    fn has_passed(&self) -> bool {
         let violations = self.doubled
             + self.served_without_row
             + self.rejected_with_row
             + self.unanswered
             + self.late
-            + self.did_not_happen;
+            + self.crash_not_reached;
         violations == 0
     }
 
     fn to_json(&self, model: &ModelResults) -> Value {
         let WritesWithoutPrimary { served, asked } = self.without_primary;
         let served_share = served as f64 / f64::max(asked as f64, 1.0);
-        json!({"cases": self.cases, "did_not_happen": self.did_not_happen, "top_ups": self.writes,
+        json!({"cases": self.cases, "did_not_happen": self.crash_not_reached, "top_ups": self.writes,
             "rows_doubled": self.doubled, "rows_lost": self.served_without_row, "unanswered": self.unanswered,
             "answered_late": self.late, "served_without_row": self.served_without_row,
             "refused_with_row": self.rejected_with_row, "failed": self.failed,
@@ -157,5 +157,5 @@
         println!("model: {violation}");
     }
     println!("{}", summary.to_json(&model));
-    Ok(model.is_good() && summary.is_good())
+    Ok(model.has_passed() && summary.has_passed())
 }
--- a/crates/testbed/src/commands/parallel.rs
+++ b/crates/testbed/src/commands/parallel.rs
@@ -3,8 +3,8 @@
 use pooler_testbed::lock;
 use std::sync::Mutex;
 
-/// Calls `execute` for each run, for at most `max_parallel` runs at a time, and returns the results in the order
-/// of `runs`.
+/// Calls `execute` for each run, for at most `max_parallel` runs at a time, and returns the results in the
+/// order of `runs`.
 pub fn run_in_parallel<T: Sync, R: Send>(
     runs: &[T],
     max_parallel: usize,
--- a/crates/testbed/src/commands/registry_scenarios.rs
+++ b/crates/testbed/src/commands/registry_scenarios.rs
@@ -34,6 +34,7 @@
 struct Summary {
     scenarios: usize,
     not_run: usize,
+    /// Scenarios with missed expectations.
     missed: usize,
     report: RuleReport,
     /// The share of requests served, by name of the scenario.
@@ -58,7 +59,7 @@
         self.report.add(&outcome.report);
     }
 
-    fn is_good(&self) -> bool {
+    fn has_passed(&self) -> bool {
         let report = &self.report;
         let violations = report.drain_violations
             + report.stale_reads
@@ -76,7 +77,8 @@
             "served_without_row": report.served_without_row,
             "sends_outside_networks": report.sends_outside_networks,
             "worst_drain_ms": report.worst_drain_ms.round(), "registry_away_s": OUTAGE_S,
-            "served_while_away": share(OUTAGE_SCENARIO), "served_beside_well_registry": share(BASELINE_SCENARIO)})
+            "served_while_away": share(OUTAGE_SCENARIO),
+            "served_beside_well_registry": share(BASELINE_SCENARIO)})
     }
 }
 
@@ -115,5 +117,5 @@
         summary.add(scenario, outcome);
     }
     println!("{}", summary.to_json(options.seed));
-    Ok(summary.is_good())
+    Ok(summary.has_passed())
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -64,10 +64,10 @@
     let (registry, address) = (fleet.peers[0].address, pooler.address);
     let (host, port) = (address.ip(), address.port());
     let classes = RequestClass::ALL.map(RequestClass::name).join(", ");
-    println!("Registry:     curl -H 'Accept: application/json' http://{registry}/eureka/apps");
-    println!("Pooler:       psql 'host={host} port={port} user=backend dbname=store sslmode=disable'");
+    println!("Registry: curl -H 'Accept: application/json' http://{registry}/eureka/apps");
+    println!("Pooler:   psql 'host={host} port={port} user=backend dbname=store sslmode=disable'");
     println!(
-        "Query:        SELECT content FROM kv WHERE name = 'acc1' /* id=mine1,c=usage-history,d=900,cluster=2 */;"
+        "Query:    SELECT content FROM kv WHERE name = 'acc1' /* id=mine1,c=usage-history,d=900,cluster=2 */;"
     );
     println!("(each request needs a unique id; the request classes are {classes})\n");
 }
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -3,17 +3,17 @@
 use crate::scenario::ScenarioError;
 use std::process::ExitStatus;
 
-/// An error that prevents a run from completing. Faults of the pooler in a run are not errors, but part of the
-/// run's outcome.
+/// An error that prevents a run from completing. Faults of the pooler in a run are not errors, but part of
+/// the run's outcome.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
     /// An operation on a socket, a file or a process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The pooler's first log line does not end with its listen address.
-    #[error("no listen address at the end of the pooler's first log line: '{line}'")]
+    /// The pooler's log line about its listen address does not end with an address.
+    #[error("the pooler's log line does not end with a listen address: '{line}'")]
     NoListenAddress {
-        /// The first log line.
+        /// The log line.
         line: String,
     },
     /// The pooler exited before it logged an expected line.
@@ -38,7 +38,7 @@
     /// A condition was not met within [`PATIENCE`](crate::PATIENCE).
     #[error("timed out waiting for: {0}")]
     TimedOut(&'static str),
-    /// The operating system does not report a figure of a process.
+    /// The operating system does not report a figure of a process, such as its memory use.
     #[error("cannot determine {0} of the process")]
     NoProcessFigure(&'static str),
     /// A scenario file cannot be read or parsed.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
 //! A testbed for the pooler on loopback: a fake Eureka registry that can be made to lag, return errors and
-//! become unavailable, fake PostgreSQL servers, clients that check their responses, and a model checker for the
-//! routing decisions.
+//! become unavailable, fake PostgreSQL servers, clients that check their responses, and a model checker for
+//! the routing decisions.
 //!
-//! The testbed counts the figures that it reports itself, from the traffic on its sockets. It takes none from the
-//! pooler.
+//! The testbed counts the figures that it reports itself, from the traffic on its sockets. It takes none from
+//! the pooler.
 
 pub mod clients;
 pub mod demo;
@@ -26,7 +26,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Timeout of every wait in the testbed; its only purpose is to keep a broken run from hanging.
+/// Timeout of waits for conditions and for the pooler process; it only keeps a broken run from hanging.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 /// Interval at which a wait checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -42,7 +42,8 @@
         #[arg(long, value_delimiter = ',', default_value = "200,2000,20000")]
         sizes: Vec<usize>,
     },
-    /// Crash the primary at each point of a write in each mode, and hand over as planned; prints the outcomes.
+    /// Crash the primary at each point of a write in each mode, and hand over as planned; prints the
+    /// outcomes.
     Primary {
         /// Run only cases whose names contain this text.
         #[arg(long, default_value = "")]
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! A model checker for the routing decisions. Stateright drives the production [`Router`] through all orders of
-//! a change of primary, responses, lost responses, router crashes and drain reports, within given bounds.
+//! A model checker for the routing decisions. Stateright drives the production [`Router`] through all orders
+//! of a change of primary, responses, lost responses, router crashes and drain reports, within given bounds.
 
 mod system;
 
@@ -28,8 +28,8 @@
     pub crashes: u8,
     /// Whether a drain of the primary may be reported.
     pub drains: bool,
-    /// Whether to seed a fault: the router is told that a reset connection was lost before the request was sent,
-    /// and retries writes that may have run. The check must find the fault.
+    /// Whether to seed a fault: the router is told that a reset connection was lost before the request was
+    /// sent, and retries writes that may have run. The check must find the fault.
     pub treats_reset_as_unsent: bool,
 }
 
@@ -221,8 +221,8 @@
 }
 
 impl SystemState {
-    /// Crashes and restarts a router. Its attempts in flight are lost, and its writes without a final response
-    /// get none.
+    /// Crashes and restarts a router. Its attempts in flight are lost, and its writes without a final
+    /// response get none.
     fn crash_router(&mut self, router: usize) {
         self.crashes += 1;
         self.attempts.retain(|in_flight| in_flight.router != router);
--- a/crates/testbed/src/model/system.rs
+++ b/crates/testbed/src/model/system.rs
@@ -12,12 +12,12 @@
 pub const ENDPOINTS: usize = 3;
 /// Time from the request of a write to its deadline.
 pub const DEADLINE_MS: i64 = 500;
-/// The model's time after which it does not advance any more.
+/// The model's time at which it stops advancing.
 pub const END_MS: i64 = 800;
 /// Time advances in steps of this length; each timer within a step fires at its own time.
 const STEP_MS: i64 = 200;
-/// Maximum number of timers and timeouts that fire in a step. A router sets its next timer at least 10 ms after
-/// the last.
+/// Maximum number of timers and timeouts that fire in a step. A router sets its next timer at least 10 ms
+/// after the last.
 const MAX_TIMERS_IN_STEP: usize = 400;
 /// Time after the deadline within which a final response is still accepted.
 const DEADLINE_TOLERANCE_MS: i64 = 20;
@@ -205,8 +205,8 @@
 }
 
 impl SystemState {
-    /// The initial state: all routers know all endpoints, and no write has been requested. `writes` is the number
-    /// of writes per router.
+    /// The initial state: all routers know all endpoints, and no write has been requested. `writes` is the
+    /// number of writes per router.
     pub(super) fn new(routers: usize, writes: usize) -> Self {
         let mut state = Self {
             now_ms: 0,
@@ -240,8 +240,8 @@
         Timestamp(START_US + self.now_ms * MICROSECONDS_PER_MS)
     }
 
-    /// Passes an event to a router and performs the router's actions. A health check completes immediately and
-    /// reports the actual state of the endpoint.
+    /// Passes an event to a router and performs the router's actions. A health check completes immediately
+    /// and reports the actual state of the endpoint.
     pub(super) fn handle_event(&mut self, router: usize, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -388,8 +388,8 @@
         }
     }
 
-    /// Advances the time to the next timer or timeout no later than `target` and fires it. Returns false if there
-    /// is none.
+    /// Advances the time to the next timer or timeout no later than `target` and fires it. Returns false if
+    /// there is none.
     fn fire_next_until(&mut self, target: i64) -> bool {
         let timers = self.timers.iter().enumerate();
         let timer = timers.filter_map(|(router, at)| at.map(|at| (at, router))).min();
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -30,7 +30,7 @@
     pub report: RuleReport,
     /// Descriptions of the missed expectations, followed by the end of the pooler's log if there are any.
     pub missed: Vec<String>,
-    /// The share of requests that were served, not counting the warm-up at its start.
+    /// The share of requests that were served, not counting those of the warm-up at the start.
     pub served_share: f64,
 }
 
@@ -98,8 +98,8 @@
     vec![format!("served share {served_share:.4} is below {}; outcomes: {outcomes:?}", expect.served)]
 }
 
-/// Describes the servers that received statements in the final window though expected to be idle, or none though
-/// expected to be busy.
+/// Describes the servers that received statements in the final window though expected to be idle, or none
+/// though expected to be busy.
 fn missed_sends(
     expect: &Expectation,
     watched: &[&String],
