--- a/crates/testbed/src/model/system.rs
+++ b/crates/testbed/src/model/system.rs
@@ -65,6 +65,7 @@
 pub struct Attempt {
     pub router: usize,
     pub write: usize,
+    /// The number of the attempt among those of its write, starting at 0.
     number: u32,
     pub endpoint: usize,
     sent_ms: i64,
@@ -87,8 +88,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Write {
     requested_ms: Option<i64>,
+    /// How often the write ran.
     executions: u8,
+    /// How often the write was sent to an endpoint.
     pub sends: u32,
+    /// All final responses; more than one is a violation.
     pub outcomes: Vec<WriteOutcome>,
     /// Whether the router crashed before the write had a final response, so that its client gets none.
     pub is_orphaned: bool,
@@ -97,9 +101,12 @@
 /// A state of the model.
 #[derive(Clone)]
 pub struct SystemState {
+    /// The model's time, in ms.
     pub(super) now_ms: i64,
     pub(super) routers: Vec<Router>,
+    /// By router, the time at which its timer fires, in ms; `None` if it is not set.
     pub(super) timers: Vec<Option<i64>>,
+    /// By router, whether the drain of the primary has been reported to it.
     pub(super) is_drain_reported: Vec<bool>,
     pub(super) attempts: Vec<Attempt>,
     /// Indexed by router, then by write.
@@ -107,8 +114,11 @@
     pub(super) is_alive: [bool; ENDPOINTS],
     pub(super) primary: Option<usize>,
     pub(super) has_primary_died: bool,
+    /// Whether the old primary has returned as a replica.
     pub(super) is_revived: bool,
+    /// Number of lost responses of endpoints that were alive.
     pub(super) losses: u8,
+    /// Number of router crashes.
     pub(super) crashes: u8,
     pub(super) violation: Option<Violation>,
 }
