--- a/crates/testbed/src/commands/failover.rs
+++ b/crates/testbed/src/commands/failover.rs
@@ -1,4 +1,5 @@
-//! Plays all changes of primary, checks the model of them, and sums both up.
+//! The `primary` command: runs the changes of primary against a pooler, model-checks them, and prints a
+//! summary.
 
 use super::model::{THREADS, describe_violation};
 use super::parallel::run_in_parallel;
@@ -10,61 +11,65 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
+/// Bounds of the model check.
 const BOUNDS: Bounds =
-    Bounds { routers: 2, writes: 1, losses: 1, crashes: 1, drains: true, wrong_reset: false };
+    Bounds { routers: 2, writes: 1, losses: 1, crashes: 1, drains: true, treats_reset_as_unsent: false };
 
-/// Which cases to play, and how.
+/// The cases to run, and how to run them.
 pub struct Options {
-    /// Only cases whose names hold this.
+    /// Run only cases whose names contain this text; empty for all.
     pub only: String,
-    /// Cases that are played at the same time.
-    pub at_a_time: usize,
-    /// How often each case is played.
+    /// Maximum number of cases that run in parallel.
+    pub max_parallel: usize,
+    /// Number of runs of each case.
     pub times: usize,
 }
 
-/// The model as it is, and with a fault that the check must find.
+/// The check of the model, and of the model with a seeded fault that the check must find.
 struct ModelResults {
     checked: CheckResult,
-    with_fault: CheckResult,
+    seeded_fault: CheckResult,
 }
 
 impl ModelResults {
     fn check() -> Self {
         let checked = check(BOUNDS, THREADS);
-        let with_fault = check(Bounds { routers: 1, wrong_reset: true, ..BOUNDS }, THREADS);
-        Self { checked, with_fault }
+        let seeded_fault = check(Bounds { routers: 1, treats_reset_as_unsent: true, ..BOUNDS }, THREADS);
+        Self { checked, seeded_fault }
     }
 
-    fn is_good(&self) -> bool {
-        self.checked.violation.is_none() && self.with_fault.violation.is_some()
+    fn has_passed(&self) -> bool {
+        self.checked.violation.is_none() && self.seeded_fault.violation.is_some()
     }
 }
 
-/// All cases together.
+/// The totals over all cases.
 #[derive(Default)]
 struct Summary {
     cases: usize,
-    did_not_happen: usize,
+    /// Cases in which the primary did not reach its crash point.
+    crash_not_reached: usize,
     writes: usize,
+    /// Writes that ran more than once.
     doubled: usize,
     served_without_row: usize,
     rejected_with_row: usize,
     unanswered: usize,
     late: usize,
     failed: usize,
-    /// Of the crashes.
+    /// Writes requested while there was no primary, in the crash cases.
     without_primary: WritesWithoutPrimary,
     handovers: Vec<Duration>,
-    /// Of the planned changes: writes that were not served, and what the others took longer than the median before.
+    /// Writes in the planned changes that were not served.
     planned_errors: usize,
+    /// Latency of writes during the planned changes in excess of the median before the change.
     planned_delays: Vec<Duration>,
 }
 
 impl Summary {
     fn add(&mut self, case: FailoverCase, outcome: &FailoverOutcome) {
         self.cases += 1;
-        self.did_not_happen += usize::from(!outcome.happened);
+        self.crash_not_reached += usize::from(!outcome.happened);
         self.writes += outcome.writes;
         self.doubled += outcome.doubled;
         self.served_without_row += outcome.served_without_row;
@@ -74,9 +79,9 @@
         self.failed += outcome.failed;
         if case == FailoverCase::Planned {
             self.planned_errors += outcome.writes - outcome.served();
-            let usual = quantile(&outcome.latencies_before, 0.5);
+            let median = quantile(&outcome.latencies_before, 0.5);
             let during = outcome.latencies_during.iter();
-            self.planned_delays.extend(during.map(|took| took.saturating_sub(usual)));
+            self.planned_delays.extend(during.map(|took| took.saturating_sub(median)));
         } else {
             self.without_primary.served += outcome.without_primary.served;
             self.without_primary.asked += outcome.without_primary.asked;
@@ -84,20 +89,20 @@
         }
     }
 
-    fn is_good(&self) -> bool {
+    fn has_passed(&self) -> bool {
         let violations = self.doubled
             + self.served_without_row
             + self.rejected_with_row
             + self.unanswered
             + self.late
-            + self.did_not_happen;
+            + self.crash_not_reached;
         violations == 0
     }
 
     fn to_json(&self, model: &ModelResults) -> Value {
         let WritesWithoutPrimary { served, asked } = self.without_primary;
         let served_share = served as f64 / f64::max(asked as f64, 1.0);
-        json!({"cases": self.cases, "did_not_happen": self.did_not_happen, "top_ups": self.writes,
+        json!({"cases": self.cases, "did_not_happen": self.crash_not_reached, "top_ups": self.writes,
             "rows_doubled": self.doubled, "rows_lost": self.served_without_row, "unanswered": self.unanswered,
             "answered_late": self.late, "served_without_row": self.served_without_row,
             "refused_with_row": self.rejected_with_row, "failed": self.failed,
@@ -107,15 +112,15 @@
             "unplanned_served_share": rounded(served_share),
             "states_checked": model.checked.states,
             "model_violations": u8::from(model.checked.violation.is_some()),
-            "seeded_fault_found": model.with_fault.violation.is_some()})
+            "seeded_fault_found": model.seeded_fault.violation.is_some()})
     }
 }
 
 fn print_outcome(case: FailoverCase, outcome: &FailoverOutcome, with_log: bool) {
     let outcomes = outcome.outcomes.iter().map(|(outcome, count)| format!("{outcome} {count}"));
     println!(
-        "{:<24} writes {:>5}  doubled {}  served without row {}  rejected with row {}  unanswered {}  late {}  \
-         without primary {}/{}  handover {:>5} ms  {}{}",
+        "{:<24} writes {:>5}  run twice {}  served without row {}  rejected with row {}  unanswered {}  \
+         late {}  without primary {}/{}  handover {:>5} ms  {}{}",
         case.to_string(),
         outcome.writes,
         outcome.doubled,
@@ -127,20 +132,20 @@
         outcome.without_primary.asked,
         outcome.handover.unwrap_or_default().as_millis(),
         outcomes.collect::<Vec<_>>().join(", "),
-        if outcome.happened { "" } else { "  DID NOT HAPPEN" }
+        if outcome.happened { "" } else { "  CRASH POINT NOT REACHED" }
     );
     if let Some(log) = outcome.log.as_ref().filter(|_| with_log) {
         println!("    log: {}", log.join(" | "));
     }
 }
 
-/// Plays the cases, and prints a line for each and a JSON object for all; whether all came out as they should.
+/// Runs the cases, and prints a line for each and a JSON summary. Returns whether all checks passed.
 pub fn run(options: &Options) -> Result<bool, TestbedError> {
     let mut cases = FailoverCase::all();
     cases.retain(|case| case.to_string().contains(&options.only));
     let cases = cases.repeat(options.times);
     let program = default_program();
-    let outcomes = run_in_parallel(&cases, options.at_a_time, |case| play(*case, &program));
+    let outcomes = run_in_parallel(&cases, options.max_parallel, |case| play(*case, &program));
     let mut summary = Summary::default();
     for (case, outcome) in cases.iter().zip(outcomes) {
         let outcome = outcome?;
@@ -152,5 +157,5 @@
         println!("model: {violation}");
     }
     println!("{}", summary.to_json(&model));
-    Ok(model.is_good() && summary.is_good())
+    Ok(model.has_passed() && summary.has_passed())
 }
