--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that ask for all classes, each with a session of its own, and check what they are answered.
+//! Load clients: each has its own session, sends requests of all classes and checks the responses.
 
 use crate::history::{Observation, RequestOutcome, ResponseRecord, SharedHistory};
 use crate::{lock, unix_ms};
@@ -12,37 +12,37 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for a response, unless told otherwise.
-pub const DEADLINE: Duration = Duration::from_millis(1_000);
-/// A response so long after the deadline still came in time.
+/// How long a client waits for a response by default.
+pub const DEFAULT_DEADLINE: Duration = Duration::from_millis(1_000);
+/// A response that arrives at most this long after the deadline still counts as in time.
 pub const DEADLINE_TOLERANCE: Duration = Duration::from_millis(50);
-/// For how long after its deadline a client goes on reading.
+/// How long after its deadline a client keeps waiting for the response before it gives up on the connection.
 const READ_AFTER_DEADLINE: Duration = Duration::from_millis(100);
-/// The age that the data of a bounded read may have.
+/// The maximum age of the data that a read with bounded staleness returns.
 const STALENESS_BOUND_MS: i64 = 1_500;
 const READ_SIZE: usize = 16 * 1024;
 
-/// The request classes of the testbed's settings.
+/// The request classes in the testbed's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
     /// A read with bounded staleness.
     BundleMenu,
-    /// A read of the session's own writes.
+    /// A read that must see the session's own writes.
     MyRecent,
-    /// An eventual read.
+    /// A read with eventual consistency.
     UsageHistory,
-    /// A strong read.
+    /// A read with strong consistency: it must see the latest commit of any session.
     BalanceCheck,
-    /// A write that must not run twice.
+    /// A write that must not be executed twice.
     TopUp,
 }
 
 impl RequestClass {
-    /// All, in the order of the settings.
+    /// All request classes, in the order of the settings.
     pub const ALL: [Self; 5] =
         [Self::BundleMenu, Self::MyRecent, Self::UsageHistory, Self::BalanceCheck, Self::TopUp];
 
-    /// Its name in the settings and in statements.
+    /// The name of the class in the settings and in statement comments.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The class for a number from 0 to 99, by its share of the load.
+    /// Maps a number from 0 to 99 to a class, in proportion to the share of each class in the load.
     fn from_percentile(percentile: u32) -> Self {
         match percentile {
             0..41 => Self::BundleMenu,
@@ -66,14 +66,15 @@
     }
 }
 
-/// Clients that go on asking.
+/// Client threads that send requests until they are stopped.
 pub struct ClientLoad {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl ClientLoad {
-    /// So many clients of the pooler at `address`, each asking anew `pause` after its response, until they are stopped.
+    /// Starts `count` clients of the pooler at `address`. Each waits for `pause` between a response and its
+    /// next request, and continues until the load is stopped.
     #[must_use]
     pub fn start(
         address: SocketAddr,
@@ -88,7 +89,7 @@
             std::thread::spawn(move || {
                 let mut client = Client::new(address, number, seed, history);
                 while !stop.load(Ordering::SeqCst) {
-                    client.request_any();
+                    client.request_random_class();
                     std::thread::sleep(pause);
                 }
             })
@@ -96,7 +97,7 @@
         Self { threads: threads.collect(), stop }
     }
 
-    /// Stops them once each has its response.
+    /// Stops all clients and waits until each has finished its current request.
     pub fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -105,7 +106,7 @@
     }
 }
 
-/// A client that keeps its connection for as long as that lasts.
+/// A client that reuses its connection until the connection breaks.
 pub struct Client {
     address: SocketAddr,
     session: String,
@@ -117,29 +118,30 @@
     unread: Vec<u8>,
 }
 
-/// A response as it came.
+/// A response as the client received it.
 struct Response {
     outcome: RequestOutcome,
     value: Option<String>,
 }
 
 impl Response {
-    /// The log position in the value, if that is the value of this request.
+    /// The log position in the value, or `None` if the value does not carry the id of this request.
     fn position_ms(&self, id: &str) -> Option<i64> {
-        let (of, position) = self.value.as_deref()?.split_once(' ')?;
-        if of == id { position.parse().ok() } else { None }
+        let (value_id, position) = self.value.as_deref()?.split_once(' ')?;
+        if value_id == id { position.parse().ok() } else { None }
     }
 }
 
 impl Client {
-    /// The client of this number.
+    /// Creates client `number`. The number names its session and, with `seed`, determines its random
+    /// sequence.
     #[must_use]
     pub fn new(address: SocketAddr, number: usize, seed: u64, history: SharedHistory) -> Self {
         Self {
             address,
             session: format!("acc{number}"),
             requests: 0,
-            deadline: DEADLINE,
+            deadline: DEFAULT_DEADLINE,
             random: ChaCha8Rng::seed_from_u64(seed ^ number as u64),
             history,
             stream: None,
@@ -147,26 +149,27 @@
         }
     }
 
-    /// The same, waiting so long for each response.
+    /// Sets how long the client waits for each response.
     #[must_use]
     pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
-    /// The id of its last request.
+    /// The id of the client's last request.
     #[must_use]
     pub fn last_id(&self) -> String {
         format!("{}x{}", self.session, self.requests)
     }
 
-    /// Makes a request of a class by chance; what became of it is in the history as well.
-    pub fn request_any(&mut self) -> RequestOutcome {
+    /// Sends a request of a random class, and also records its outcome in the history.
+    pub fn request_random_class(&mut self) -> RequestOutcome {
         let percentile = self.random.next_u32() % 100;
         self.request(RequestClass::from_percentile(percentile))
     }
 
-    /// Makes a request of a class.
+    /// Sends a request of this class and records it in the history. A late or missing
+    /// response is not recorded.
     pub fn request(&mut self, class: RequestClass) -> RequestOutcome {
         self.requests += 1;
         let id = self.last_id();
@@ -208,7 +211,7 @@
         }
     }
 
-    /// The log position that a read of this class must see.
+    /// The oldest log position that a read of this class may be answered from.
     fn required_position(&self, class: RequestClass) -> i64 {
         match class {
             RequestClass::BundleMenu => unix_ms() - STALENESS_BOUND_MS,
@@ -263,9 +266,9 @@
                     return Ok(response);
                 }
             }
-            let left = give_up_at.saturating_duration_since(Instant::now()) + READ_AFTER_DEADLINE;
+            let timeout = give_up_at.saturating_duration_since(Instant::now()) + READ_AFTER_DEADLINE;
             let stream = self.stream.as_mut().ok_or(ErrorKind::NotConnected)?;
-            stream.set_read_timeout(Some(left))?;
+            stream.set_read_timeout(Some(timeout))?;
             match stream.read(&mut bytes)? {
                 0 => return Err(ErrorKind::UnexpectedEof.into()),
                 count => self.unread.extend_from_slice(&bytes[..count]),
@@ -274,7 +277,7 @@
     }
 }
 
-/// How a request ended that got this ErrorResponse.
+/// The outcome of a request that was answered with this ErrorResponse.
 fn error_outcome(body: &[u8]) -> RequestOutcome {
     let fields = body.split(|byte| *byte == 0);
     match fields.filter_map(|field| field.strip_prefix(b"C")).next().unwrap_or(b"") {
--- a/crates/testbed/src/failover.rs
+++ b/crates/testbed/src/failover.rs
@@ -1,10 +1,11 @@
-//! Changes of primary: a primary that dies at each point of a write, in each way, or hands over by plan; writers that
-//! keep every response; and the group's rows held against these.
+//! Failover cases: the primary crashes at each point of a write, in each crash mode, or hands over in a
+//! planned change. Writers record every response, and the responses are compared with the rows that the
+//! group holds afterwards.
 
 use crate::clients::{Client, DEADLINE_TOLERANCE, RequestClass};
 use crate::error::TestbedError;
 use crate::fake_registry::{ChangedBy, Registration, Registrations, RegistryPeer};
-use crate::fleet::INSIDE_NETWORKS;
+use crate::fleet::ALLOWED_IP;
 use crate::history::{RequestOutcome, SharedHistory};
 use crate::lock;
 use crate::operator_config::OperatorConfig;
@@ -19,39 +20,40 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long writers wait.
-pub const DEADLINE: Duration = Duration::from_secs(5);
-/// A replica takes over this long after its primary died.
+/// How long a writer waits for the response to a write.
+pub const WRITE_DEADLINE: Duration = Duration::from_secs(5);
+/// A replica is promoted this long after the primary crashed.
 pub const TAKEOVER_AFTER_CRASH: Duration = Duration::from_millis(1_200);
-/// A replica takes over this long after its primary began to drain.
-pub const PLANNED_TAKEOVER: Duration = Duration::from_millis(400);
-/// Traffic before the change, and after it.
-const TRAFFIC_BEFORE: Duration = Duration::from_millis(500);
-const TRAFFIC_AFTER: Duration = Duration::from_millis(1_300);
-/// For so long a crash may be waited for.
-const CRASH_LIMIT: Duration = Duration::from_secs(3);
+/// A replica is promoted this long after the primary began to drain.
+pub const TAKEOVER_AFTER_DRAIN: Duration = Duration::from_millis(400);
+/// How long the writers run before the change begins.
+const TRAFFIC_BEFORE_CHANGE: Duration = Duration::from_millis(500);
+/// How long the writers run after a replica has been promoted.
+const TRAFFIC_AFTER_PROMOTION: Duration = Duration::from_millis(1_300);
+/// How long to wait for a write to reach the crash point.
+const CRASH_TIMEOUT: Duration = Duration::from_secs(3);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-const SERVERS: usize = 4;
-const WRITERS: usize = 6;
-/// A writer's pause between two writes.
+const SERVER_COUNT: usize = 4;
+const WRITER_COUNT: usize = 6;
+/// How long a writer pauses between two writes.
 const WRITER_PAUSE: Duration = Duration::from_millis(3);
-const OLD_PRIMARY: &str = "s-1";
-const NEW_PRIMARY: usize = 1;
+const OLD_PRIMARY_ID: &str = "s-1";
+const NEW_PRIMARY_INDEX: usize = 1;
 
-/// A change of primary.
+/// A case in which the group's primary changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailoverCase {
-    /// The primary dies.
+    /// The primary crashes at this point of a write, in this mode.
     Crash(CrashPoint, CrashMode),
-    /// The primary hands over.
+    /// The primary drains, and a replica takes over.
     Planned,
 }
 
 impl FailoverCase {
-    /// How often the planned change is among all cases.
+    /// How often `all` repeats the planned change.
     const PLANNED_COUNT: usize = 3;
 
-    /// Each crash point in each mode, and the planned change.
+    /// Every crash point in every crash mode, followed by the planned changes.
     #[must_use]
     pub fn all() -> Vec<Self> {
         let crashes =
@@ -69,96 +71,98 @@
     }
 }
 
-/// A write as its client saw it.
+/// A write as seen by its client.
 #[derive(Clone, Debug)]
 struct WriteRecord {
     id: String,
-    asked_at: Instant,
-    took: Duration,
+    sent_at: Instant,
+    latency: Duration,
     outcome: RequestOutcome,
 }
 
-/// The writes asked while there was no primary.
+/// Counts of the writes sent between the start of a change and the promotion of a replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WritesWithoutPrimary {
-    /// Those served.
+    /// Writes that were served.
     pub served: usize,
-    /// All.
+    /// All writes sent, served or not.
     pub asked: usize,
 }
 
-/// What came out of a case.
+/// The result of a failover case. The counts concern all writes of the case unless they say otherwise.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverOutcome {
-    /// Whether the primary died where it should.
+    /// Whether the change began: always for a planned one, otherwise only if the primary crashed at its
+    /// crash point.
     pub happened: bool,
-    /// Writes asked.
+    /// All writes sent.
     pub writes: usize,
-    /// Rows that ran twice.
+    /// Writes that were executed more than once.
     pub doubled: usize,
-    /// Served, and no replica has the row.
+    /// Writes answered as served whose row no replica has.
     pub served_without_row: usize,
-    /// Rejected, and there is a row.
+    /// Writes answered as rejected whose row a replica has.
     pub rejected_with_row: usize,
-    /// Without a final answer.
+    /// Writes without a final response.
     pub unanswered: usize,
-    /// Answered after the client had given up.
+    /// Writes that took longer than the writers' deadline plus [`DEADLINE_TOLERANCE`].
     pub late: usize,
-    /// Failed: nothing is promised.
+    /// Writes answered as failed; such a write may or may not have been executed.
     pub failed: usize,
-    /// The writes asked between the two primaries.
+    /// The writes sent while there was no primary that accepts writes.
     pub without_primary: WritesWithoutPrimary,
-    /// From the new primary to the first write that is served.
+    /// The time from the promotion to the first write that is served after it.
     pub handover: Option<Duration>,
-    /// How long writes took that were asked during the change.
+    /// The latencies of writes sent between the start of the change and the promotion.
     pub latencies_during: Vec<Duration>,
-    /// How long writes took that ended before it.
+    /// The latencies of writes that ended before the change began.
     pub latencies_before: Vec<Duration>,
-    /// By outcome.
+    /// The number of writes by outcome.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
-    /// The pooler's log, where a write asked between the primaries was not served.
+    /// The pooler's log, kept only if a write sent between the start of the change and the promotion was
+    /// not served.
     pub log: Option<Vec<String>>,
 }
 
-/// The moments of a change.
+/// When a change of primary began and when it ended with the promotion of a replica.
 #[derive(Clone, Copy, Debug)]
-struct Change {
+struct PrimaryChange {
     began_at: Instant,
     promoted_at: Instant,
 }
 
 impl FailoverOutcome {
-    /// The writes that were served.
+    /// The number of writes that were served.
     #[must_use]
     pub fn served(&self) -> usize {
         self.outcomes.get(&RequestOutcome::Served).copied().unwrap_or(0)
     }
 
-    fn add(&mut self, write: &WriteRecord, has_row: bool, change: Change) {
+    fn add(&mut self, write: &WriteRecord, has_row: bool, change: PrimaryChange) {
         *self.outcomes.entry(write.outcome.clone()).or_default() += 1;
         let is_served = write.outcome == RequestOutcome::Served;
         self.served_without_row += usize::from(is_served && !has_row);
         self.rejected_with_row += usize::from(write.outcome == RequestOutcome::Rejected && has_row);
         self.failed += usize::from(matches!(write.outcome, RequestOutcome::Failed { .. }));
         self.unanswered += usize::from(matches!(write.outcome, RequestOutcome::Broken { .. }));
-        self.late += usize::from(write.took > DEADLINE + DEADLINE_TOLERANCE);
-        let ended_at = write.asked_at + write.took;
-        if write.asked_at > change.began_at && write.asked_at < change.promoted_at {
+        self.late += usize::from(write.latency > WRITE_DEADLINE + DEADLINE_TOLERANCE);
+        let ended_at = write.sent_at + write.latency;
+        if write.sent_at > change.began_at && write.sent_at < change.promoted_at {
             self.without_primary.served += usize::from(is_served);
             self.without_primary.asked += 1;
-            self.latencies_during.push(write.took);
+            self.latencies_during.push(write.latency);
         }
         if ended_at < change.began_at {
-            self.latencies_before.push(write.took);
+            self.latencies_before.push(write.latency);
         }
         if is_served && ended_at > change.promoted_at {
             let after = ended_at - change.promoted_at;
-            self.handover = Some(self.handover.map_or(after, |best| best.min(after)));
+            self.handover = Some(self.handover.map_or(after, |shortest| shortest.min(after)));
         }
     }
 }
 
-/// Clients that go on writing.
+/// Client threads that send writes until they are stopped.
 struct Writers {
     address: SocketAddr,
     history: SharedHistory,
@@ -172,17 +176,18 @@
         Self { address, history, stop: Arc::default(), records: Arc::default(), threads: Vec::new() }
     }
 
-    /// Starts so many more.
+    /// Starts `count` more writers.
     fn start(&mut self, count: usize) {
         for _ in 0..count {
             let number = self.threads.len();
             let (stop, records) = (self.stop.clone(), self.records.clone());
-            let client = Client::new(self.address, number, 1, self.history.clone()).with_deadline(DEADLINE);
+            let client =
+                Client::new(self.address, number, 1, self.history.clone()).with_deadline(WRITE_DEADLINE);
             self.threads.push(std::thread::spawn(move || write_until_stopped(client, &stop, &records)));
         }
     }
 
-    /// Stops them; all that they wrote.
+    /// Stops all writers and returns the records of all their writes.
     fn stop(self) -> Vec<WriteRecord> {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -194,15 +199,15 @@
 
 fn write_until_stopped(mut client: Client, stop: &AtomicBool, records: &Mutex<Vec<WriteRecord>>) {
     while !stop.load(Ordering::SeqCst) {
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let outcome = client.request(RequestClass::TopUp);
-        let record = WriteRecord { id: client.last_id(), asked_at, took: asked_at.elapsed(), outcome };
+        let record = WriteRecord { id: client.last_id(), sent_at, latency: sent_at.elapsed(), outcome };
         lock(records).push(record);
         std::thread::sleep(WRITER_PAUSE);
     }
 }
 
-/// A group of servers, registered, and a pooler before it.
+/// A registered group of servers, and a pooler that routes to them.
 struct Setup {
     group: ReplicatedGroup,
     registrations: Registrations,
@@ -213,11 +218,11 @@
 
 impl Setup {
     fn start(program: &Path) -> Result<Self, TestbedError> {
-        let group = ReplicatedGroup::start(SERVERS, IpAddr::V4(INSIDE_NETWORKS))?;
+        let group = ReplicatedGroup::start(SERVER_COUNT, IpAddr::V4(ALLOWED_IP))?;
         let (registrations, history) = (Registrations::default(), SharedHistory::default());
-        for (at, address) in group.addresses.iter().enumerate() {
-            let (id, timestamp) = (format!("s-{}", at + 1), registrations.next_timestamp());
-            registrations.register(Registration::server(&id, *address, at == 0, timestamp));
+        for (index, address) in group.addresses.iter().enumerate() {
+            let (id, timestamp) = (format!("s-{}", index + 1), registrations.next_timestamp());
+            registrations.register(Registration::server(&id, *address, index == 0, timestamp));
         }
         let peer = RegistryPeer::start(&registrations, &history)?;
         let operator =
@@ -226,20 +231,22 @@
         Ok(Self { group, registrations, _peer: peer, history, pooler })
     }
 
-    /// Begins the change; when, if it did begin.
+    /// Begins the change and returns when it began, or `None` if the primary did not crash within
+    /// `CRASH_TIMEOUT`.
     fn begin(&self, case: FailoverCase, writers: &mut Writers) -> Option<Instant> {
         match case {
             FailoverCase::Planned => {
                 self.group.drain_primary();
-                let drain = |one: &mut Registration| one.status = "OUT_OF_SERVICE".into();
-                self.registrations.update(OLD_PRIMARY, ChangedBy::Instance, drain);
+                let drain = |registration: &mut Registration| registration.status = "OUT_OF_SERVICE".into();
+                self.registrations.update(OLD_PRIMARY_ID, ChangedBy::Instance, drain);
                 Some(Instant::now())
             }
             FailoverCase::Crash(point, mode) => {
                 self.group.plan_crash(point, mode);
-                // More at once than there are connections, so that one has to be opened.
-                writers.start(WRITERS);
-                let give_up_at = Instant::now() + CRASH_LIMIT;
+                // More concurrent writes than open connections make the pooler open one, as some crash
+                // points require.
+                writers.start(WRITER_COUNT);
+                let give_up_at = Instant::now() + CRASH_TIMEOUT;
                 while self.group.crashed_at().is_none() && Instant::now() < give_up_at {
                     std::thread::sleep(Duration::from_millis(1));
                 }
@@ -249,30 +256,30 @@
     }
 }
 
-/// Plays a case with the pooler at `program`.
+/// Runs a case with the pooler at `program`.
 ///
 /// # Errors
 ///
-/// When it can't be played; what comes out wrong is no error.
+/// If the case can't be run. Faults of the pooler are no error, but counted in the outcome.
 pub fn play(case: FailoverCase, program: &Path) -> Result<FailoverOutcome, TestbedError> {
     let setup = Setup::start(program)?;
     let mut writers = Writers::new(setup.pooler.address, setup.history.clone());
-    writers.start(WRITERS);
-    std::thread::sleep(TRAFFIC_BEFORE);
+    writers.start(WRITER_COUNT);
+    std::thread::sleep(TRAFFIC_BEFORE_CHANGE);
 
     let began_at = setup.begin(case, &mut writers);
     let mut outcome = FailoverOutcome { happened: began_at.is_some(), ..FailoverOutcome::default() };
     let began_at = began_at.unwrap_or_else(Instant::now);
-    let takeover = if case == FailoverCase::Planned { PLANNED_TAKEOVER } else { TAKEOVER_AFTER_CRASH };
+    let takeover = if case == FailoverCase::Planned { TAKEOVER_AFTER_DRAIN } else { TAKEOVER_AFTER_CRASH };
     std::thread::sleep((began_at + takeover).saturating_duration_since(Instant::now()));
-    setup.group.promote(NEW_PRIMARY);
-    let change = Change { began_at, promoted_at: Instant::now() };
-    std::thread::sleep(TRAFFIC_AFTER);
+    setup.group.promote(NEW_PRIMARY_INDEX);
+    let change = PrimaryChange { began_at, promoted_at: Instant::now() };
+    std::thread::sleep(TRAFFIC_AFTER_PROMOTION);
     let writes = writers.stop();
 
     let rows = setup.group.replicated_rows();
     outcome.writes = writes.len();
-    outcome.doubled = setup.group.doubled_rows();
+    outcome.doubled = setup.group.writes_executed_repeatedly();
     for write in &writes {
         outcome.add(write, rows.contains_key(&write.id), change);
     }
@@ -282,11 +289,12 @@
     Ok(outcome)
 }
 
-/// The value below which this share of them lies.
+/// The smallest of the values that is not exceeded by at least this share of them, or zero if there are no
+/// values. `share` is from 0 to 1.
 #[must_use]
 pub fn quantile(values: &[Duration], share: f64) -> Duration {
     let mut sorted = values.to_vec();
     sorted.sort();
-    let at = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
-    sorted.get(at).copied().unwrap_or_default()
+    let index = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
+    sorted.get(index).copied().unwrap_or_default()
 }
--- a/crates/testbed/src/fake_server.rs
+++ b/crates/testbed/src/fake_server.rs
@@ -1,9 +1,10 @@
-//! Fake servers that speak as much of PostgreSQL as a pooler needs, with a role, a log position and a lag.
+//! Fake servers that implement the part of the PostgreSQL protocol that a pooler needs. Each has a role, a
+//! log position and a replication lag.
 
 use crate::history::SharedHistory;
 use crate::server_messages::{
     ReportedState, push_empty_response, push_error_response, push_load_report, push_row_response,
-    push_welcome,
+    push_session_start,
 };
 use crate::statement::request_id;
 use crate::{lock, unix_ms};
@@ -14,22 +15,23 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::time::{Duration, Instant};
 
-/// How far a replica is behind at the start.
+/// The replication lag of a replica at the start.
 const INITIAL_LAG_MS: i64 = 10;
 const READ_SIZE: usize = 16 * 1024;
 
-/// The log of a group: the primary writes, replicas apply it a little later.
+/// The replicated log of a group: the primary appends to it, and replicas apply it after their lag.
 #[derive(Debug, Default)]
 pub struct ReplicationLog {
     last_commit: AtomicI64,
 }
 
 impl ReplicationLog {
-    /// A commit's position: the time, and later than all before.
+    /// Returns the position of a new commit: the Unix time in milliseconds, or one more than the last
+    /// position if that is not earlier.
     fn commit(&self) -> i64 {
         let now = unix_ms();
-        let before = self.last_commit.fetch_max(now, Ordering::SeqCst);
-        if before >= now { self.last_commit.fetch_add(1, Ordering::SeqCst) + 1 } else { now }
+        let previous = self.last_commit.fetch_max(now, Ordering::SeqCst);
+        if previous >= now { self.last_commit.fetch_add(1, Ordering::SeqCst) + 1 } else { now }
     }
 }
 
@@ -37,35 +39,35 @@
 struct State {
     id: String,
     is_primary: bool,
-    /// How long a statement takes.
-    work: Duration,
+    /// How long each statement takes to execute.
+    statement_duration: Duration,
     log: Arc<ReplicationLog>,
     history: SharedHistory,
     lag_ms: AtomicI64,
-    /// The latest position reported as a replica.
+    /// The highest position that this server has reported as a replica, in Unix milliseconds.
     reported_position: AtomicI64,
     is_down: AtomicBool,
 }
 
-/// A fake server.
+/// A running fake server; clones share its state.
 #[derive(Clone)]
 pub struct FakeServer {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     state: Arc<State>,
 }
 
-/// How a fake server is set up.
+/// The configuration of a fake server.
 #[derive(Clone, Debug)]
 pub struct FakeServerConfig {
-    /// Its id, under which the history has it.
+    /// The id under which the history records what the server receives.
     pub id: String,
-    /// Where it listens, on a free port.
+    /// The IP address that the server listens on; the port is any free one.
     pub ip: IpAddr,
-    /// Its role.
+    /// Whether the server is the primary.
     pub is_primary: bool,
-    /// How long it takes for a statement.
-    pub work: Duration,
+    /// How long each statement takes to execute.
+    pub statement_duration: Duration,
 }
 
 impl FakeServer {
@@ -73,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// When it can't listen.
+    /// If the server can't listen on its address.
     pub fn start(
         config: FakeServerConfig,
         log: Arc<ReplicationLog>,
@@ -83,7 +85,7 @@
         let state = State {
             id: config.id,
             is_primary: config.is_primary,
-            work: config.work,
+            statement_duration: config.statement_duration,
             log,
             history,
             lag_ms: AtomicI64::new(INITIAL_LAG_MS),
@@ -105,12 +107,12 @@
         Ok(server)
     }
 
-    /// Sets how far it is behind the log.
+    /// Sets the replication lag in milliseconds.
     pub fn set_lag(&self, ms: i64) {
         self.state.lag_ms.store(ms, Ordering::SeqCst);
     }
 
-    /// From now on it closes every connection.
+    /// Makes the server close new connections at once, and open ones instead of sending a response.
     pub fn take_down(&self) {
         self.state.is_down.store(true, Ordering::SeqCst);
     }
@@ -122,26 +124,28 @@
     }
 
     fn position_ms(&self) -> i64 {
-        // A primary has all that it has committed, two commits in one millisecond included.
+        // Two commits in one millisecond put the last commit ahead of the clock, and a primary includes all
+        // its commits.
         if self.is_primary {
             return unix_ms().max(self.log.last_commit.load(Ordering::SeqCst));
         }
         let applied = unix_ms() - self.lag_ms.load(Ordering::SeqCst);
-        // A position never goes back: a replica that falls behind stands still first.
+        // A position never decreases: when the lag grows, a replica's position stays constant until the log
+        // catches up.
         applied.max(self.reported_position.fetch_max(applied, Ordering::SeqCst))
     }
 
-    fn reported(&self) -> ReportedState {
+    fn reported_state(&self) -> ReportedState {
         ReportedState { is_primary: self.is_primary, position_ms: self.position_ms() }
     }
 
-    /// Serves a connection to its end.
+    /// Serves a connection until it ends.
     fn serve(&self, stream: TcpStream) {
         let mut connection = Connection::new(stream);
         while let Some(incoming) = connection.next() {
             let mut out = Vec::new();
             match incoming {
-                Incoming::Startup => push_welcome(&mut out),
+                Incoming::Startup => push_session_start(&mut out),
                 Incoming::Statement { text, first_byte_at } => {
                     self.execute(&text, first_byte_at, &mut out);
                     connection.finish_statement();
@@ -159,29 +163,29 @@
             return;
         }
         if statement.starts_with("SHOW") {
-            push_load_report(out, self.is_primary, self.reported());
+            push_load_report(out, self.is_primary, self.reported_state());
             return;
         }
         lock(&self.history).record_send(&self.id, first_byte_at);
         let id = request_id(statement);
         if !statement.starts_with("INSERT") {
-            // What a read sees is what the server has when the read begins.
-            let seen = self.reported();
-            std::thread::sleep(self.work);
-            push_row_response(out, format!("{id} {}", seen.position_ms).as_bytes(), seen);
+            // A read returns the position at its start, as a snapshot does.
+            let state_at_start = self.reported_state();
+            std::thread::sleep(self.statement_duration);
+            push_row_response(out, format!("{id} {}", state_at_start.position_ms).as_bytes(), state_at_start);
         } else if self.is_primary {
-            std::thread::sleep(self.work);
+            std::thread::sleep(self.statement_duration);
             lock(&self.history).record_execution(id);
             let position_ms = self.log.commit();
             let committed = ReportedState { is_primary: true, position_ms };
             push_row_response(out, format!("{id} {position_ms}").as_bytes(), committed);
         } else {
-            push_error_response(out, SqlState::READ_ONLY_SQL_TRANSACTION, "read only", self.reported());
+            push_error_response(out, SqlState::READ_ONLY_SQL_TRANSACTION, "read only", self.reported_state());
         }
     }
 }
 
-/// What a pooler sends.
+/// A message from a pooler.
 enum Incoming {
     Startup,
     Statement { text: String, first_byte_at: Instant },
@@ -192,7 +196,7 @@
     stream: TcpStream,
     unread: Vec<u8>,
     has_started: bool,
-    /// When the first byte of what is unread came.
+    /// When the first of the unread bytes arrived.
     first_byte_at: Option<Instant>,
 }
 
@@ -202,7 +206,8 @@
         Self { stream, unread: Vec::new(), has_started: false, first_byte_at: None }
     }
 
-    /// Waits for the next message; `None` at the end of the connection, or when it is no query.
+    /// Waits for the next message. Returns `None` at the end of the connection, or for a message that is
+    /// not a query.
     fn next(&mut self) -> Option<Incoming> {
         let mut bytes = vec![0; READ_SIZE];
         loop {
@@ -232,7 +237,7 @@
         }
     }
 
-    /// A statement has been executed: what is unread belongs to the next.
+    /// Called after a statement has been executed: any unread bytes belong to the next statement.
     fn finish_statement(&mut self) {
         self.first_byte_at = (!self.unread.is_empty()).then(Instant::now);
     }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of fake servers with its registry, all on loopback, and what can happen to it.
+//! A fleet of fake servers and its fake registry, all on loopback, and the scenario actions that act on them.
 
 use crate::error::TestbedError;
 use crate::fake_registry::{ChangedBy, Registration, Registrations, RegistryPeer};
@@ -14,39 +14,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where servers are, and where none may be.
-pub const INSIDE_NETWORKS: Ipv4Addr = Ipv4Addr::new(127, 10, 0, 1);
-const OUTSIDE_NETWORKS: Ipv4Addr = Ipv4Addr::new(127, 20, 0, 1);
-/// How often the pooler polls.
+/// The IP address of all servers; the operator's file allows its network.
+pub const ALLOWED_IP: Ipv4Addr = Ipv4Addr::new(127, 10, 0, 1);
+/// An IP address outside the allowed networks; the pooler must not connect to it.
+const DISALLOWED_IP: Ipv4Addr = Ipv4Addr::new(127, 20, 0, 1);
+/// How often the pooler polls the registry.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a server takes for a statement.
-const WORK: Duration = Duration::from_millis(6);
-/// The server that is the primary at the start.
-const FIRST_PRIMARY: &str = "s-1";
+/// How long a server takes to execute each statement.
+const STATEMENT_DURATION: Duration = Duration::from_millis(6);
+/// The id of the server that is the primary at the start.
+const INITIAL_PRIMARY_ID: &str = "s-1";
 
-/// A fleet with its registry.
+/// Fake servers with the registry that they are registered in.
 pub struct Fleet {
-    /// What passes on the sockets.
+    /// What registry, servers and clients see on their sockets.
     pub history: SharedHistory,
-    /// What is registered.
+    /// The registrations, shared by all peers of the registry.
     pub registrations: Registrations,
-    /// The registry's servers.
+    /// The peers (servers) of the registry.
     pub peers: Vec<RegistryPeer>,
     /// The fake servers, by id.
     pub servers: BTreeMap<String, FakeServer>,
     log: Arc<ReplicationLog>,
-    /// How far the clock of all of them is off.
+    /// How far the clock that registry and servers share has been stepped from the real time, in
+    /// milliseconds.
     clock_offset_ms: i64,
-    /// Whether the operator's file has the clearing of an override count.
+    /// Whether the history counts the clearing of an override as the end of a drain.
     counts_cleared_override: bool,
 }
 
 impl Fleet {
-    /// So many servers `s-1`, `s-2` and so on, the first of them the primary, and so many peers.
+    /// Starts `servers` servers, `s-1`, `s-2` and so on, of which the first is the primary, and `peers`
+    /// registry peers.
     ///
     /// # Errors
     ///
-    /// When something can't listen.
+    /// If a server or a peer can't listen on its address.
     pub fn start(servers: usize, peers: usize) -> io::Result<Self> {
         let (history, registrations) = (SharedHistory::default(), Registrations::default());
         let peer = |_| RegistryPeer::start(&registrations, &history);
@@ -62,19 +65,21 @@
         };
         for number in 1..=servers {
             let id = format!("s-{number}");
-            let role = if id == FIRST_PRIMARY { ServerRole::Primary } else { ServerRole::Replica };
+            let role = if id == INITIAL_PRIMARY_ID { ServerRole::Primary } else { ServerRole::Replica };
             fleet.add_server(&id, role)?;
         }
         fleet.registrations.forget_history();
         Ok(fleet)
     }
 
-    /// Has the history count the clearing of an override as the end of a drain.
+    /// Makes the history count the clearing of an override as the end of a drain, for poolers that do the
+    /// same.
     pub fn count_cleared_overrides(&mut self) {
         self.counts_cleared_override = true;
     }
 
-    /// The operator's file for a pooler of this fleet, with a further line in the registry's record.
+    /// The operator's file for a pooler of this fleet, with `extra` as a further line of its registry
+    /// section.
     #[must_use]
     pub fn operator_config(&self, extra: &str) -> String {
         let extra = vec!["longest_pause: \"1s\"".to_owned(), extra.to_owned()];
@@ -86,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// When something can't listen, or the pooler can't be told to end.
+    /// If a server can't listen on its address, or the pooler can't be sent its termination signal.
     pub fn perform(&mut self, action: &Action, pooler: &PoolerProcess) -> Result<(), TestbedError> {
         match action {
             Action::Drain(id) => self.set_own_status(id, "OUT_OF_SERVICE"),
@@ -98,17 +103,17 @@
             Action::AddServer(id, role) => self.add_server(id, *role)?,
             Action::Restart(id) => self.restart(id),
             Action::Move(id) => {
-                let address = self.open(&format!("{id}-moved"), ServerRole::Replica)?;
-                self.update_own(id, |one| one.port = address.port());
+                let address = self.start_unregistered_server(&format!("{id}-moved"), ServerRole::Replica)?;
+                self.update_own(id, |registration| registration.port = address.port());
             }
             Action::RegisterTwin(id) => {
-                let address = self.open(&format!("{id}-twin"), ServerRole::Replica)?;
-                self.registrations.update(id, ChangedBy::Registry, |one| one.port = address.port());
+                let address = self.start_unregistered_server(&format!("{id}-twin"), ServerRole::Replica)?;
+                self.registrations.update(id, ChangedBy::Registry, |twin| twin.port = address.port());
             }
             Action::RegisterOutside(id) => self.register_outside(id)?,
             Action::MoveOutside(id) => {
                 let address = self.listen_outside()?;
-                self.update_own(id, |one| one.set_address(address));
+                self.update_own(id, |registration| registration.set_address(address));
             }
             Action::ClearRegistry => self.registrations.clear(),
             Action::ReregisterAll(pause_ms) => self.reregister_all(Duration::from_millis(*pause_ms)),
@@ -124,13 +129,13 @@
         Ok(())
     }
 
-    /// Starts a server that is not registered.
-    fn open(&mut self, id: &str, role: ServerRole) -> io::Result<SocketAddr> {
+    /// Starts a server without registering it, and returns its address.
+    fn start_unregistered_server(&mut self, id: &str, role: ServerRole) -> io::Result<SocketAddr> {
         let config = FakeServerConfig {
             id: id.to_owned(),
-            ip: IpAddr::V4(INSIDE_NETWORKS),
+            ip: IpAddr::V4(ALLOWED_IP),
             is_primary: role == ServerRole::Primary,
-            work: WORK,
+            statement_duration: STATEMENT_DURATION,
         };
         let server = FakeServer::start(config, self.log.clone(), self.history.clone())?;
         let address = server.address;
@@ -139,28 +144,34 @@
     }
 
     fn add_server(&mut self, id: &str, role: ServerRole) -> io::Result<()> {
-        let address = self.open(id, role)?;
+        let address = self.start_unregistered_server(id, role)?;
         let is_primary = role == ServerRole::Primary;
-        self.registrations.register(Registration::server(id, address, is_primary, self.own_timestamp()));
+        self.registrations.register(Registration::server(
+            id,
+            address,
+            is_primary,
+            self.shared_clock_timestamp(),
+        ));
         Ok(())
     }
 
-    /// The time by the clock that the registry and the servers share.
-    fn own_timestamp(&self) -> i64 {
+    /// A new timestamp of the clock that registry and servers share, its offset included.
+    fn shared_clock_timestamp(&self) -> i64 {
         self.registrations.next_timestamp() + self.clock_offset_ms
     }
 
-    /// A server changes itself: its timestamp is its own clock's.
+    /// Changes a registration as its own server does: the registration's timestamp comes from the server's
+    /// clock.
     fn update_own(&self, id: &str, change: impl FnOnce(&mut Registration)) {
-        let timestamp = self.own_timestamp();
-        self.registrations.update(id, ChangedBy::Registry, |one| {
-            change(one);
-            one.dirty_ms = timestamp;
+        let timestamp = self.shared_clock_timestamp();
+        self.registrations.update(id, ChangedBy::Registry, |registration| {
+            change(registration);
+            registration.dirty_ms = timestamp;
         });
     }
 
     fn set_own_status(&self, id: &str, status: &str) {
-        self.update_own(id, |one| one.status = status.to_owned());
+        self.update_own(id, |registration| registration.status = status.to_owned());
     }
 
     fn clear_override(&self, id: &str) {
@@ -171,18 +182,18 @@
     }
 
     fn restart(&self, id: &str) {
-        let started = self.own_timestamp().to_string();
-        self.update_own(id, |one| {
-            one.status = "UP".into();
-            one.metadata.insert("startedAtMs".into(), started);
+        let started = self.shared_clock_timestamp().to_string();
+        self.update_own(id, |registration| {
+            registration.status = "UP".into();
+            registration.metadata.insert("startedAtMs".into(), started);
         });
     }
 
     fn register_outside(&self, id: &str) -> io::Result<()> {
         let address = self.listen_outside()?;
-        let mut registration = self.registrations.get(FIRST_PRIMARY).unwrap_or_default();
+        let mut registration = self.registrations.get(INITIAL_PRIMARY_ID).unwrap_or_default();
         registration.id = id.to_owned();
-        registration.dirty_ms = self.own_timestamp();
+        registration.dirty_ms = self.shared_clock_timestamp();
         registration.set_address(address);
         self.registrations.register(registration);
         Ok(())
@@ -190,16 +201,16 @@
 
     fn reregister_all(&self, pause: Duration) {
         for (id, server) in &self.servers {
-            let is_primary = id == FIRST_PRIMARY;
-            let timestamp = self.own_timestamp();
+            let is_primary = id == INITIAL_PRIMARY_ID;
+            let timestamp = self.shared_clock_timestamp();
             self.registrations.register(Registration::server(id, server.address, is_primary, timestamp));
             std::thread::sleep(pause);
         }
     }
 
-    /// Listens where no server may be, and has the history count the connections.
+    /// Listens on an address outside the allowed networks; the history records each connection to it.
     fn listen_outside(&self) -> io::Result<SocketAddr> {
-        let listener = TcpListener::bind((OUTSIDE_NETWORKS, 0))?;
+        let listener = TcpListener::bind((DISALLOWED_IP, 0))?;
         let address = listener.local_addr()?;
         let history = self.history.clone();
         std::thread::spawn(move || {
--- a/crates/testbed/src/pooler_process.rs
+++ b/crates/testbed/src/pooler_process.rs
@@ -1,4 +1,4 @@
-//! The pooler as a process, on files in a folder of its own.
+//! Runs the pooler as a child process, with its files in a temporary folder of its own.
 
 use crate::error::TestbedError;
 use crate::{PATIENCE, POLL_INTERVAL, lock};
@@ -11,10 +11,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// For how long the log of a pooler that has ended may still come in.
-const LOG_AFTER_END: Duration = Duration::from_millis(50);
+/// How long to wait for the last log lines of a pooler that has ended.
+const FINAL_LOG_WAIT: Duration = Duration::from_millis(50);
 
-/// The settings that the testbed's poolers get: the site's classes, with endpoints that check nothing themselves.
+/// The settings of the testbed's poolers: the request classes of the site, with endpoints that check no
+/// consistency themselves.
 #[must_use]
 pub fn settings() -> Value {
     let class = |name: &str, idempotency: &str, objective: f64, deadline: f64, priority_weight: f64| {
@@ -36,7 +37,8 @@
         "Rules": {"DrainGrace": 250.0, "ColdFrom": 0.16, "Cold": 16000.0, "FallMultiple": 2.5, "Fall": 3000.0}})
 }
 
-/// The pooler's program: what `POOLER_PROGRAM` names, or the one beside this program.
+/// The path of the pooler's executable: the value of `POOLER_PROGRAM`, or else `pooler` in the folder of
+/// this executable.
 #[must_use]
 pub fn default_program() -> PathBuf {
     std::env::var_os("POOLER_PROGRAM").map(PathBuf::from).unwrap_or_else(|| {
@@ -45,21 +47,23 @@
     })
 }
 
-/// A running pooler that knows no endpoint from its configuration; killed when dropped.
+/// A running pooler whose configuration lists no endpoints. Dropping it kills the process and deletes its
+/// folder.
 pub struct PoolerProcess {
     child: Child,
-    /// Where it listens.
+    /// The address on which the pooler accepts clients.
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
     folder: PathBuf,
 }
 
 impl PoolerProcess {
-    /// Starts `program`, with an operator's file of this text if there is one, and waits until it listens.
+    /// Starts `program`, with an operator's file of the text `operator` if there is one, and waits until it
+    /// listens.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// If the pooler can't be started, ends, or logs no listen address in time.
     pub fn start(program: &Path, operator: Option<&str>) -> Result<Self, TestbedError> {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -92,18 +96,18 @@
     ///
     /// # Errors
     ///
-    /// When it does not start, or reads nothing.
+    /// If the pooler does not start, or does not read the registry in time.
     pub fn start_with_registry(program: &Path, operator: &str) -> Result<Self, TestbedError> {
         let mut pooler = Self::start(program, Some(operator))?;
         pooler.wait_for_log("instances read")?;
         Ok(pooler)
     }
 
-    /// Waits for a log line that holds this text.
+    /// Waits for a log line that contains `text`, and returns the first one, which may be an earlier line.
     ///
     /// # Errors
     ///
-    /// When none comes.
+    /// If no such line is logged in time, or the pooler ends first.
     pub fn wait_for_log(&mut self, text: &str) -> Result<String, TestbedError> {
         let give_up_at = Instant::now() + PATIENCE;
         while Instant::now() < give_up_at {
@@ -111,7 +115,7 @@
                 return Ok(line.clone());
             }
             if let Some(status) = self.child.try_wait()? {
-                std::thread::sleep(LOG_AFTER_END);
+                std::thread::sleep(FINAL_LOG_WAIT);
                 return Err(TestbedError::PoolerEnded { status, log: self.log().join("\n") });
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -119,33 +123,33 @@
         Err(TestbedError::NoLogLine { text: text.to_owned(), log: self.log().join("\n") })
     }
 
-    /// All log lines so far.
+    /// All lines that the pooler has logged.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
 
-    /// Its process id.
+    /// The process id of the pooler.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Tells it to end.
+    /// Sends SIGTERM to the pooler.
     ///
     /// # Errors
     ///
-    /// When that can't be done.
+    /// If the `kill` command can't be run.
     pub fn terminate(&self) -> Result<(), TestbedError> {
         Command::new("kill").args(["-s", "TERM", &self.id().to_string()]).status()?;
         Ok(())
     }
 
-    /// Waits for its end.
+    /// Waits until the pooler has ended.
     ///
     /// # Errors
     ///
-    /// When it does not end.
+    /// If the pooler does not end in time.
     pub fn wait(&mut self) -> Result<ExitStatus, TestbedError> {
         let give_up_at = Instant::now() + PATIENCE;
         while Instant::now() < give_up_at {
@@ -158,7 +162,7 @@
     }
 }
 
-/// Adds the lines of a stream to a log as they come.
+/// Starts a thread that appends the lines of a stream to a log as they arrive.
 fn collect_lines(stream: impl Read + Send + 'static, log: Arc<Mutex<Vec<String>>>) {
     std::thread::spawn(move || {
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
--- a/crates/testbed/src/replicated_group.rs
+++ b/crates/testbed/src/replicated_group.rs
@@ -1,9 +1,9 @@
-//! A group of fake servers with one replicated log: a write is answered once a replica has it, and the primary can be
-//! made to die at any point of a write, in any way. Then a replica takes over after a while.
+//! A group of fake servers with one replicated log. A write is answered once a replica has it. The primary
+//! can be made to crash at each point of a write, in each crash mode; the caller then promotes a replica.
 
 use crate::server_messages::{
     ReportedState, push_empty_response, push_error_response, push_load_report, push_row, push_row_response,
-    push_welcome,
+    push_session_start,
 };
 use crate::statement::request_id;
 use crate::{lock, unix_ms};
@@ -14,41 +14,41 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a statement takes.
-const WORK: Duration = Duration::from_millis(4);
-/// How far replicas are behind.
+/// How long each statement takes to execute.
+const STATEMENT_DURATION: Duration = Duration::from_millis(4);
+/// How far the replicas are behind the primary.
 const REPLICATION_LAG_MS: i64 = 8;
-/// How soon a connection notices that its server has died.
-const DEATH_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// How often connections and listeners check whether their server has crashed.
+const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const READ_SIZE: usize = 16 * 1024;
 
-/// Where in a write its primary dies.
+/// The point of a write at which its primary crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CrashPoint {
-    /// No connection is left, and no listener.
+    /// Before the pooler connects: open connections end, and new ones are no longer accepted.
     BeforeDial,
-    /// A pooler has connected and is not welcomed.
+    /// A pooler has connected and sent its startup message, and the server has not answered it.
     DuringDial,
-    /// A connection is open, and nothing of the write has come.
+    /// A connection is open, and no byte of the write has arrived.
     BeforeFirstByte,
-    /// A part of the write has been read.
+    /// The first bytes of the write have been read.
     MidStatement,
-    /// All of it has been read, and it has not run.
+    /// The whole write has been read, and its execution has not begun.
     BeforeRun,
-    /// It has run, and is not committed.
+    /// The write has been executed, and is not committed.
     BeforeCommit,
-    /// It is committed, and no replica has it.
+    /// The write is committed, and no replica has it.
     BeforeShipped,
-    /// A replica has it, and it is not answered.
+    /// A replica has the write, and no byte of the response has been sent.
     BeforeAnswer,
-    /// Half of the response is out.
+    /// Half of the response has been sent.
     HalfAnswer,
-    /// All of it is out but for ReadyForQuery.
+    /// The whole response except ReadyForQuery has been sent.
     BeforeReady,
 }
 
 impl CrashPoint {
-    /// All, in their order.
+    /// All crash points, in the order in which a write reaches them.
     pub const ALL: [Self; 10] = [
         Self::BeforeDial,
         Self::DuringDial,
@@ -63,30 +63,30 @@
     ];
 }
 
-/// How a server dies.
+/// How a crashed server treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CrashMode {
-    /// All connections are reset, and new ones refused.
+    /// All connections are reset, and new ones are not accepted.
     Reset,
-    /// All connections end, and new ones are refused.
+    /// All connections are closed, and new ones are not accepted.
     Closed,
-    /// It does not answer any more; new connections come up and are not answered.
+    /// The server stops answering: its connections stay open, and new ones open and are not answered.
     Silent,
 }
 
 impl CrashMode {
-    /// All.
+    /// All crash modes.
     pub const ALL: [Self; 3] = [Self::Reset, Self::Closed, Self::Silent];
 }
 
-/// A crash that is still to come.
+/// A crash that has been planned and has not happened yet.
 #[derive(Clone, Copy, Debug)]
 struct PlannedCrash {
     point: CrashPoint,
     mode: CrashMode,
 }
 
-/// What has become of a write.
+/// The state of a committed write.
 #[derive(Clone, Copy, Debug, Default)]
 struct Row {
     executions: u32,
@@ -96,40 +96,40 @@
 #[derive(Debug, Default)]
 struct State {
     primary: Option<usize>,
-    /// Those that died, and how.
-    dead: HashMap<usize, CrashMode>,
+    /// The crashed servers by index, each with its crash mode.
+    crashed_servers: HashMap<usize, CrashMode>,
     planned_crash: Option<PlannedCrash>,
     crashed_at: Option<Instant>,
-    /// The primary that hands over: it takes no new write.
+    /// The primary in a planned handover: it accepts no new write.
     draining: Option<usize>,
-    /// Where the positions of replicas stand still while there is no primary.
-    standstill_ms: i64,
-    /// By request.
+    /// The position that all servers report while no primary accepts writes, in Unix milliseconds.
+    frozen_position_ms: i64,
+    /// The committed writes by request id.
     rows: HashMap<String, Row>,
     last_commit_ms: i64,
 }
 
 impl State {
-    /// Has the primary die if that is planned for here; whether it does.
+    /// Crashes the primary if a crash is planned for this point, and returns whether one was.
     fn crash_at(&mut self, point: CrashPoint) -> bool {
         let Some(crash) = self.planned_crash.filter(|crash| crash.point == point) else { return false };
         if let Some(primary) = self.primary.take() {
-            self.dead.insert(primary, crash.mode);
-            self.standstill_ms = unix_ms() - REPLICATION_LAG_MS;
+            self.crashed_servers.insert(primary, crash.mode);
+            self.frozen_position_ms = unix_ms() - REPLICATION_LAG_MS;
             self.crashed_at = Some(Instant::now());
         }
         self.planned_crash = None;
         true
     }
 
-    /// Up to where a server has applied the log.
+    /// The position up to which a server has applied the log, in Unix milliseconds.
     fn position_ms(&self, server: usize) -> i64 {
         match self.primary {
             Some(primary) if primary == server && self.draining.is_none() => {
                 unix_ms().max(self.last_commit_ms)
             }
             Some(_) if self.draining.is_none() => unix_ms() - REPLICATION_LAG_MS,
-            _ => self.standstill_ms,
+            _ => self.frozen_position_ms,
         }
     }
 
@@ -140,23 +140,23 @@
     }
 }
 
-/// A group of servers.
+/// A running group of servers; clones share its state.
 #[derive(Clone, Debug)]
 pub struct ReplicatedGroup {
     state: Arc<Mutex<State>>,
-    /// Where each of them listens; the first is the primary at the start.
+    /// The address of each server; the first server is the primary at the start.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// The server has died: its connections end as its crash mode says.
+/// Error: the server has crashed, and its connections end according to its crash mode.
 struct Crashed;
 
 impl ReplicatedGroup {
-    /// So many servers on `ip`.
+    /// Starts `count` servers on `ip`.
     ///
     /// # Errors
     ///
-    /// When one can't listen.
+    /// If a server can't listen on its address.
     pub fn start(count: usize, ip: IpAddr) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State { primary: Some(0), ..State::default() }));
         let listeners =
@@ -171,7 +171,8 @@
         Ok(group)
     }
 
-    /// Makes the primary die at a point of the next write.
+    /// Makes the primary crash when a write next reaches `point`. At `BeforeDial` and `BeforeFirstByte` the
+    /// primary crashes at once.
     pub fn plan_crash(&self, point: CrashPoint, mode: CrashMode) {
         let mut state = lock(&self.state);
         state.planned_crash = Some(PlannedCrash { point, mode });
@@ -180,27 +181,27 @@
         }
     }
 
-    /// When the primary died.
+    /// When the primary crashed, if it has crashed.
     #[must_use]
     pub fn crashed_at(&self) -> Option<Instant> {
         lock(&self.state).crashed_at
     }
 
-    /// The primary takes no new write from now on.
+    /// Starts a planned handover: the primary accepts no new write from now on.
     pub fn drain_primary(&self) {
         let mut state = lock(&self.state);
         state.draining = state.primary;
-        state.standstill_ms = unix_ms() - REPLICATION_LAG_MS;
+        state.frozen_position_ms = unix_ms() - REPLICATION_LAG_MS;
     }
 
-    /// A server takes over; the old primary, if it lives, is a replica.
+    /// Makes `server` the primary. The old primary becomes a replica unless it has crashed.
     pub fn promote(&self, server: usize) {
         let mut state = lock(&self.state);
         state.primary = Some(server);
         state.draining = None;
     }
 
-    /// The ids of the writes that a replica has, and how often each ran.
+    /// The ids of the writes that a replica has, and how often each write was executed.
     #[must_use]
     pub fn replicated_rows(&self) -> HashMap<String, u32> {
         let state = lock(&self.state);
@@ -208,28 +209,29 @@
         replicated.map(|(id, row)| (id.clone(), row.executions)).collect()
     }
 
-    /// How many writes ran more than once, replicated or not.
+    /// How many writes were executed more than once, replicated or not.
     #[must_use]
-    pub fn doubled_rows(&self) -> usize {
+    pub fn writes_executed_repeatedly(&self) -> usize {
         lock(&self.state).rows.values().filter(|row| row.executions > 1).count()
     }
 
     fn crash_mode(&self, server: usize) -> Option<CrashMode> {
-        lock(&self.state).dead.get(&server).copied()
+        lock(&self.state).crashed_servers.get(&server).copied()
     }
 
-    /// Whether the server dies here.
-    fn crashes(&self, server: usize, point: CrashPoint) -> bool {
+    /// Crashes `server` if it is the primary and a crash is planned for this point, and returns whether it
+    /// crashed.
+    fn crashes_at(&self, server: usize, point: CrashPoint) -> bool {
         let mut state = lock(&self.state);
         state.primary == Some(server) && state.crash_at(point)
     }
 
-    /// Ends a statement if the server dies here.
-    fn survive(&self, server: usize, point: CrashPoint) -> Result<(), Crashed> {
-        if self.crashes(server, point) { Err(Crashed) } else { Ok(()) }
+    /// Returns an error, which ends the statement, if the server crashes at this point.
+    fn check_crash_point(&self, server: usize, point: CrashPoint) -> Result<(), Crashed> {
+        if self.crashes_at(server, point) { Err(Crashed) } else { Ok(()) }
     }
 
-    /// Accepts a server's connections for as long as it lives.
+    /// Accepts a server's connections while the server has not crashed.
     fn listen(&self, server: usize, listener: &TcpListener) {
         loop {
             if self.crash_mode(server).is_none() {
@@ -238,17 +240,17 @@
                     std::thread::spawn(move || group.serve(server, stream));
                 }
             }
-            std::thread::sleep(DEATH_POLL_INTERVAL);
+            std::thread::sleep(CRASH_POLL_INTERVAL);
         }
     }
 
-    /// Ends a connection of a server that has died.
+    /// Ends a connection of a crashed server according to its crash mode.
     fn end_connection(&self, server: usize, stream: &TcpStream) {
         match self.crash_mode(server) {
             Some(CrashMode::Reset) => reset_on_close(stream),
             Some(CrashMode::Silent) => {
                 while self.crash_mode(server) == Some(CrashMode::Silent) {
-                    std::thread::sleep(DEATH_POLL_INTERVAL);
+                    std::thread::sleep(CRASH_POLL_INTERVAL);
                 }
                 reset_on_close(stream);
             }
@@ -256,11 +258,11 @@
         }
     }
 
-    /// Serves a connection to its end, or to that of its server.
+    /// Serves a connection until it ends or its server crashes.
     fn serve(&self, server: usize, mut stream: TcpStream) {
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
-        let _ = stream.set_read_timeout(Some(DEATH_POLL_INTERVAL));
+        let _ = stream.set_read_timeout(Some(CRASH_POLL_INTERVAL));
         let mut connection = ServerConnection { group: self, server, unread: Vec::new(), has_started: false };
         let mut bytes = vec![0; READ_SIZE];
         loop {
@@ -275,7 +277,7 @@
                     }
                     continue;
                 }
-                Ok(Progress::NeedsMore) => {}
+                Ok(Progress::Incomplete) => {}
                 Ok(Progress::Ended) => return,
                 Err(Crashed) => {
                     let _ = stream.write_all(&out);
@@ -290,7 +292,8 @@
         }
     }
 
-    /// Answers a statement. If the server dies with it, what is in `out` by then is still written.
+    /// Answers a statement. If the server crashes meanwhile, the part of the response that is already in
+    /// `out` is still sent.
     fn execute(&self, server: usize, statement: &str, out: &mut Vec<u8>) -> Result<(), Crashed> {
         if statement.is_empty() {
             push_empty_response(out);
@@ -307,7 +310,7 @@
             push_load_report(out, reported.is_primary && !is_draining, reported);
             Ok(())
         } else if !statement.starts_with("INSERT") {
-            std::thread::sleep(WORK);
+            std::thread::sleep(STATEMENT_DURATION);
             push_row_response(out, format!("{id} {}", reported.position_ms).as_bytes(), reported);
             Ok(())
         } else if is_draining || !reported.is_primary {
@@ -324,35 +327,37 @@
     }
 
     fn execute_write(&self, server: usize, id: &str, out: &mut Vec<u8>) -> Result<(), Crashed> {
-        self.survive(server, CrashPoint::BeforeRun)?;
-        std::thread::sleep(WORK);
-        self.survive(server, CrashPoint::BeforeCommit)?;
+        self.check_crash_point(server, CrashPoint::BeforeRun)?;
+        std::thread::sleep(STATEMENT_DURATION);
+        self.check_crash_point(server, CrashPoint::BeforeCommit)?;
         let position_ms = lock(&self.state).commit(id);
-        self.survive(server, CrashPoint::BeforeShipped)?;
-        // A server that died meanwhile replicates nothing more.
+        self.check_crash_point(server, CrashPoint::BeforeShipped)?;
+        // A server that crashed meanwhile, at another connection's write, replicates nothing more.
         if self.crash_mode(server).is_some() {
             return Err(Crashed);
         }
         if let Some(row) = lock(&self.state).rows.get_mut(id) {
             row.is_replicated = true;
         }
-        self.survive(server, CrashPoint::BeforeAnswer)?;
+        self.check_crash_point(server, CrashPoint::BeforeAnswer)?;
         let committed = ReportedState { is_primary: true, position_ms };
         push_row(out, format!("{id} {position_ms}").as_bytes(), committed);
-        if self.crashes(server, CrashPoint::HalfAnswer) {
+        if self.crashes_at(server, CrashPoint::HalfAnswer) {
             out.truncate(out.len() / 2);
             return Err(Crashed);
         }
-        self.survive(server, CrashPoint::BeforeReady)?;
+        self.check_crash_point(server, CrashPoint::BeforeReady)?;
         write::ready_for_query(out);
         Ok(())
     }
 }
 
-/// How far the answer to what has been read has come.
+/// What became of the bytes read so far.
 enum Progress {
+    /// A message was answered.
     Answered,
-    NeedsMore,
+    /// The next message is incomplete.
+    Incomplete,
     /// The pooler has ended the connection.
     Ended,
 }
@@ -366,23 +371,23 @@
 }
 
 impl ServerConnection<'_> {
-    /// Answers the next message, if all of it has been read.
+    /// Answers the next message if it has been read completely.
     fn answer(&mut self, out: &mut Vec<u8>) -> Result<Progress, Crashed> {
         if !self.has_started {
             let Ok(Some((_, size))) = protocol::parse_startup_message(&self.unread) else {
-                return Ok(Progress::NeedsMore);
+                return Ok(Progress::Incomplete);
             };
-            self.group.survive(self.server, CrashPoint::DuringDial)?;
+            self.group.check_crash_point(self.server, CrashPoint::DuringDial)?;
             self.unread.drain(..size);
-            push_welcome(out);
+            push_session_start(out);
             self.has_started = true;
             return Ok(Progress::Answered);
         }
         if self.has_begun_write() {
-            self.group.survive(self.server, CrashPoint::MidStatement)?;
+            self.group.check_crash_point(self.server, CrashPoint::MidStatement)?;
         }
         let Ok(Some(message)) = protocol::parse_frontend_message(&self.unread) else {
-            return Ok(Progress::NeedsMore);
+            return Ok(Progress::Incomplete);
         };
         let (tag, size) = (message.tag, message.size);
         let statement = protocol::parse_query(message.body).unwrap_or("").to_owned();
@@ -394,7 +399,7 @@
         Ok(Progress::Answered)
     }
 
-    /// Whether the first bytes of a write have been read.
+    /// Whether the unread bytes begin with those of a write.
     fn has_begun_write(&self) -> bool {
         let statement = self.unread.get(5..);
         self.unread.first() == Some(&b'Q')
@@ -402,7 +407,7 @@
     }
 }
 
-/// Has a connection be reset when it is closed.
+/// Makes the close of a connection reset it: with a linger time of zero, close sends RST.
 fn reset_on_close(stream: &TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/testbed/src/server_messages.rs
+++ b/crates/testbed/src/server_messages.rs
@@ -1,16 +1,16 @@
-//! What a fake server writes in PostgreSQL's protocol.
+//! The messages that the fake servers write in the PostgreSQL protocol.
 
 use pooler_proxy::protocol::{BackendKeyData, SqlState, write};
 
-/// The key of every connection; nobody cancels with it.
+/// The BackendKeyData of every connection; the fake servers process no cancel requests.
 const SERVER_KEY: BackendKeyData = BackendKeyData { process_id: 1, secret_key: 1 };
 
-/// The state of a server as it reports it beside each response.
+/// The state that a server reports with each response.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedState {
-    /// Whether it is the primary.
+    /// Whether the server is the primary.
     pub is_primary: bool,
-    /// Up to where it has applied the log, in Unix milliseconds.
+    /// The position up to which the server has applied the log, in Unix milliseconds.
     pub position_ms: i64,
 }
 
@@ -20,15 +20,15 @@
     out.extend_from_slice(body);
 }
 
-/// ParameterStatus messages with a server's role and position.
-fn push_state(out: &mut Vec<u8>, state: ReportedState) {
+/// Appends ParameterStatus messages with a server's role and position.
+fn push_parameter_status(out: &mut Vec<u8>, state: ReportedState) {
     let role = if state.is_primary { "master" } else { "replica" };
     for (name, value) in [("part", role), ("caught_up_to", &state.position_ms.to_string())] {
         push_message(out, b'S', format!("{name}\0{value}\0").as_bytes());
     }
 }
 
-/// A response with one value, but for ReadyForQuery.
+/// Appends a response with one value, without its ReadyForQuery.
 pub fn push_row(out: &mut Vec<u8>, value: &[u8], state: ReportedState) {
     push_message(out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let mut row = vec![0, 1];
@@ -36,36 +36,37 @@
     row.extend_from_slice(value);
     push_message(out, b'D', &row);
     write::command_complete(out, "SELECT 1");
-    push_state(out, state);
+    push_parameter_status(out, state);
 }
 
-/// A whole response with one value.
+/// Appends a complete response with one value.
 pub fn push_row_response(out: &mut Vec<u8>, value: &[u8], state: ReportedState) {
     push_row(out, value, state);
     write::ready_for_query(out);
 }
 
-/// A whole error response.
+/// Appends a complete error response, ReadyForQuery included.
 pub fn push_error_response(out: &mut Vec<u8>, sql_state: SqlState, message: &str, state: ReportedState) {
     write::error_response(out, write::Severity::Error, sql_state, message, None);
-    push_state(out, state);
+    push_parameter_status(out, state);
     write::ready_for_query(out);
 }
 
-/// What a server writes once it has accepted a connection.
-pub fn push_welcome(out: &mut Vec<u8>) {
+/// Appends the messages with which a server answers a startup message.
+pub fn push_session_start(out: &mut Vec<u8>) {
     write::session_start(out, SERVER_KEY);
 }
 
-/// The whole response to an empty query.
+/// Appends the complete response to an empty query.
 pub fn push_empty_response(out: &mut Vec<u8>) {
     write::empty_query_response(out);
     write::ready_for_query(out);
 }
 
-/// The whole response to a health check: the position in seconds, and whether the server takes writes.
-pub fn push_load_report(out: &mut Vec<u8>, takes_writes: bool, state: ReportedState) {
+/// Appends the complete response to a health check: the position in seconds, and whether the server accepts
+/// writes.
+pub fn push_load_report(out: &mut Vec<u8>, accepts_writes: bool, state: ReportedState) {
     let seconds = state.position_ms as f64 / 1_000.0;
-    let report = format!("x0={seconds:.3},x1={}", u8::from(takes_writes));
+    let report = format!("x0={seconds:.3},x1={}", u8::from(accepts_writes));
     push_row_response(out, report.as_bytes(), state);
 }
--- a/crates/testbed/src/statement.rs
+++ b/crates/testbed/src/statement.rs
@@ -1,6 +1,6 @@
-//! The comment in a statement by which clients describe their request.
+//! Reads the comment in which a statement describes its request.
 
-/// A value of a statement's comment.
+/// The value of the field `name` in the last comment of a statement.
 #[must_use]
 pub fn comment_field<'s>(statement: &'s str, name: &str) -> Option<&'s str> {
     let comment = statement.rsplit_once("/*")?.1.split("*/").next()?.trim();
@@ -11,7 +11,7 @@
         .map(|(_, value)| value)
 }
 
-/// The request's id, or an empty one.
+/// The request id in the statement's comment, or an empty string if there is none.
 #[must_use]
 pub fn request_id(statement: &str) -> &str {
     comment_field(statement, "id").unwrap_or("")
