--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -162,14 +162,14 @@
         format!("{}x{}", self.session, self.requests)
     }
 
-    /// Sends a request of a random class, and also records its outcome in the history.
+    /// Sends a request of a random class, chosen by the share of each class in the load; see [`Self::request`].
     pub fn request_random_class(&mut self) -> RequestOutcome {
         let percentile = self.random.next_u32() % 100;
         self.request(RequestClass::from_percentile(percentile))
     }
 
-    /// Sends a request of this class and records it in the history. A late or missing
-    /// response is not recorded.
+    /// Sends a request of this class and counts it in the history, which also records the response unless it
+    /// is late or missing.
     pub fn request(&mut self, class: RequestClass) -> RequestOutcome {
         self.requests += 1;
         let id = self.last_id();
--- a/crates/testbed/src/failover.rs
+++ b/crates/testbed/src/failover.rs
@@ -107,7 +107,7 @@
     pub unanswered: usize,
     /// Writes that took longer than the writers' deadline plus [`DEADLINE_TOLERANCE`].
     pub late: usize,
-    /// Writes answered as failed; such a write may or may not have been executed.
+    /// Writes answered as failed, which promises nothing about whether they were executed.
     pub failed: usize,
     /// The writes sent while there was no primary that accepts writes.
     pub without_primary: WritesWithoutPrimary,
@@ -289,8 +289,8 @@
     Ok(outcome)
 }
 
-/// The smallest of the values that is not exceeded by at least this share of them, or zero if there are no
-/// values. `share` is from 0 to 1.
+/// The smallest value that is at least as large as a `share` (0 to 1) of all values, or zero if there are
+/// none.
 #[must_use]
 pub fn quantile(values: &[Duration], share: f64) -> Duration {
     let mut sorted = values.to_vec();
--- a/crates/testbed/src/fake_server.rs
+++ b/crates/testbed/src/fake_server.rs
@@ -26,8 +26,8 @@
 }
 
 impl ReplicationLog {
-    /// Returns the position of a new commit: the Unix time in milliseconds, or one more than the last
-    /// position if that is not earlier.
+    /// Returns the position of a new commit: the Unix time in milliseconds, or the last position plus
+    /// one if the clock has not passed it.
     fn commit(&self) -> i64 {
         let now = unix_ms();
         let previous = self.last_commit.fetch_max(now, Ordering::SeqCst);
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -72,8 +72,8 @@
         Ok(fleet)
     }
 
-    /// Makes the history count the clearing of an override as the end of a drain, for poolers that do the
-    /// same.
+    /// Makes the history count the clearing of an override as the end of a drain, for poolers whose
+    /// operator's file has `lifts: "override"`.
     pub fn count_cleared_overrides(&mut self) {
         self.counts_cleared_override = true;
     }
@@ -108,7 +108,8 @@
             }
             Action::RegisterTwin(id) => {
                 let address = self.start_unregistered_server(&format!("{id}-twin"), ServerRole::Replica)?;
-                self.registrations.update(id, ChangedBy::Registry, |twin| twin.port = address.port());
+                self.registrations
+                    .update(id, ChangedBy::Registry, |registration| registration.port = address.port());
             }
             Action::RegisterOutside(id) => self.register_outside(id)?,
             Action::MoveOutside(id) => {
--- a/crates/testbed/src/pooler_process.rs
+++ b/crates/testbed/src/pooler_process.rs
@@ -14,8 +14,8 @@
 /// How long to wait for the last log lines of a pooler that has ended.
 const FINAL_LOG_WAIT: Duration = Duration::from_millis(50);
 
-/// The settings of the testbed's poolers: the request classes of the site, with endpoints that check no
-/// consistency themselves.
+/// The settings of the testbed's poolers: the request classes of the site, with endpoints that perform
+/// no checks of their own.
 #[must_use]
 pub fn settings() -> Value {
     let class = |name: &str, idempotency: &str, objective: f64, deadline: f64, priority_weight: f64| {
@@ -58,8 +58,8 @@
 }
 
 impl PoolerProcess {
-    /// Starts `program`, with an operator's file of the text `operator` if there is one, and waits until it
-    /// listens.
+    /// Starts `program`, with an operator's file that contains `operator` if that is given, and waits until
+    /// the pooler listens.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/replicated_group.rs
+++ b/crates/testbed/src/replicated_group.rs
@@ -25,7 +25,7 @@
 /// The point of a write at which its primary crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CrashPoint {
-    /// Before the pooler connects: open connections end, and new ones are no longer accepted.
+    /// Before the pooler connects: the server crashes at once and accepts no new connection.
     BeforeDial,
     /// A pooler has connected and sent its startup message, and the server has not answered it.
     DuringDial,
@@ -148,7 +148,7 @@
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Error: the server has crashed, and its connections end according to its crash mode.
+/// The error of a statement whose server has crashed: the connection ends according to the crash mode.
 struct Crashed;
 
 impl ReplicatedGroup {
@@ -352,7 +352,7 @@
     }
 }
 
-/// What became of the bytes read so far.
+/// The result of processing the bytes that have been read.
 enum Progress {
     /// A message was answered.
     Answered,
