--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -162,7 +162,8 @@
         format!("{}x{}", self.session, self.requests)
     }
 
-    /// Sends a request of a random class, chosen by the share of each class in the load; see [`Self::request`].
+    /// Sends a request of a random class, chosen by the share of each class in the load, as
+    /// [`Self::request`] does.
     pub fn request_random_class(&mut self) -> RequestOutcome {
         let percentile = self.random.next_u32() % 100;
         self.request(RequestClass::from_percentile(percentile))
