--- a/crates/testbed/src/fake_registry/behavior.rs
+++ b/crates/testbed/src/fake_registry/behavior.rs
@@ -1,39 +1,40 @@
-//! The ways in which a peer answers reads, well or not.
+//! The faults that a registry peer can inject into its responses.
 
 use serde::{Deserialize, Serialize};
 
-/// How a peer answers reads. What makes it fail altogether holds for writes as well.
+/// How a peer answers reads of instance lists. `CloseConnections`, `Silent` and `Status` apply to writes as
+/// well. A read of a single instance on an open connection is always answered normally.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadBehavior {
-    /// As it should.
+    /// Answers correctly.
     #[default]
     Normal,
-    /// It closes every connection.
+    /// Closes new connections at once, and open ones at their next list read or write.
     CloseConnections,
-    /// It does not answer.
+    /// Accepts requests without answering them.
     Silent,
-    /// It answers with an HTTP status.
+    /// Answers with an HTTP status and no body.
     Status {
-        /// The status.
+        /// The HTTP status code.
         code: u16,
-        /// The header `Retry-After`, in seconds.
+        /// The value of the `Retry-After` header in seconds; `None` omits the header.
         retry_after: Option<u32>,
     },
-    /// It ends in the middle of a body.
+    /// Sends the first half of the encoded list as if it were the whole body.
     TruncatedBody,
-    /// Noise of this size, in MB.
+    /// Sends a body of this many MB of pseudorandom bytes, labeled as JSON.
     Noise(usize),
-    /// JSON nested to this depth.
+    /// Sends unterminated JSON nested to this depth.
     DeeplyNested(usize),
-    /// No instance at all.
+    /// Lists no instances, with an empty hash code.
     Empty,
-    /// Only so many of the first instances.
+    /// Lists at most this many instances, the first in order, with the hash code of this shorter list.
     FirstFew(usize),
-    /// A hash code that is wrong.
+    /// Sends a hash code that does not match the registrations.
     WrongHash,
-    /// Deltas that lack what has changed.
+    /// Sends deltas without changes; their hash code still covers the changes.
     LostDelta,
-    /// Deltas with the latest change first, each of them twice.
+    /// Sends deltas that list the changes latest first, and then the same list again.
     DisorderedDelta,
 }
--- a/crates/testbed/src/fake_registry/encoding.rs
+++ b/crates/testbed/src/fake_registry/encoding.rs
@@ -1,10 +1,11 @@
-//! Eureka's encoding of registrations, written and read.
+//! Encodes registrations as Eureka's JSON and XML, and decodes registration requests.
 
 use super::registrations::Registration;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The hash code by which a client knows whether it has missed something: the count of each status.
+/// Eureka's `apps__hashcode`: the number of registrations in each status. A client that computes another
+/// value after it applied a delta has missed a change.
 pub fn hash_code<'r>(registrations: impl Iterator<Item = &'r Registration>) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for registration in registrations {
@@ -13,7 +14,7 @@
     counts.iter().map(|(status, count)| format!("{status}_{count}_")).collect()
 }
 
-/// The registration in the body of a POST, for this application.
+/// Decodes the body of a registration request (`POST /apps/{app}`). Missing or malformed numbers become 0.
 pub fn decode_registration(body: &Value, app: &str) -> Registration {
     let instance = &body["instance"];
     let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
@@ -29,7 +30,7 @@
     }
 }
 
-/// An instance as Jackson writes it.
+/// Encodes an instance in the JSON that Eureka's Jackson serializer writes.
 pub fn instance_json(registration: &Registration) -> Value {
     let Registration { app, id, ip, port, status, overridden_status, dirty_ms, .. } = registration;
     let Registration { updated_ms, registered_ms, action, .. } = registration;
@@ -41,35 +42,43 @@
     json!({
         "instanceId": id, "app": app, "hostName": ip, "ipAddr": ip, "status": status,
         "overriddenstatus": overridden_status, "vipAddress": app.to_ascii_lowercase(),
-        "port": {"$": port, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"}, "countryId": 1,
-        "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": 90, "registrationTimestamp": registered_ms,
-                      "lastRenewalTimestamp": updated_ms, "evictionTimestamp": 0, "serviceUpTimestamp": registered_ms},
+        "port": {"$": port, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"},
+        "countryId": 1, "dataCenterInfo": {
+            "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
+        "leaseInfo": {
+            "renewalIntervalInSecs": 30, "durationInSecs": 90, "registrationTimestamp": registered_ms,
+            "lastRenewalTimestamp": updated_ms, "evictionTimestamp": 0, "serviceUpTimestamp": registered_ms},
         "metadata": metadata, "homePageUrl": format!("http://{ip}:{port}/"),
         "isCoordinatingDiscoveryServer": "false", "lastUpdatedTimestamp": updated_ms.to_string(),
         "lastDirtyTimestamp": dirty_ms.to_string(), "actionType": action})
 }
 
-/// A list of instances in JSON. As Jackson does, one element alone is written as an object and not as a list of one.
+/// Encodes a list of instances in JSON. As in Eureka's Jackson output, a list of one element is written as
+/// the bare element instead of an array.
 pub fn applications_json(registrations: &[Registration], hash_code: &str) -> Value {
     let mut apps: BTreeMap<&str, Vec<Value>> = BTreeMap::new();
     for registration in registrations {
         apps.entry(&registration.app).or_default().push(instance_json(registration));
     }
-    let one_or_list = |mut list: Vec<Value>| if list.len() == 1 { list.remove(0) } else { Value::from(list) };
-    let apps = apps.into_iter().map(|(name, all)| json!({"name": name, "instance": one_or_list(all)}));
+    let element_or_array =
+        |mut list: Vec<Value>| if list.len() == 1 { list.remove(0) } else { Value::from(list) };
+    let apps = apps
+        .into_iter()
+        .map(|(name, instances)| json!({"name": name, "instance": element_or_array(instances)}));
     json!({"applications": {
-        "versions__delta": "1", "apps__hashcode": hash_code, "application": one_or_list(apps.collect())}})
+        "versions__delta": "1", "apps__hashcode": hash_code,
+        "application": element_or_array(apps.collect())}})
 }
 
-/// A list of instances in XML.
+/// Encodes a list of instances in XML.
 pub fn applications_xml(registrations: &[Registration], hash_code: &str) -> String {
     let mut apps: BTreeMap<&str, String> = BTreeMap::new();
     for registration in registrations {
         *apps.entry(&registration.app).or_default() += &instance_xml(registration);
     }
-    let apps =
-        apps.iter().map(|(name, all)| format!("<application><name>{name}</name>{all}</application>\n"));
+    let apps = apps
+        .iter()
+        .map(|(name, instances)| format!("<application><name>{name}</name>{instances}</application>\n"));
     let apps: String = apps.collect();
     format!(
         "<?xml version=\"1.0\"?>\n<!-- a <comment> -->\n<applications>\n<versions__delta>1</versions__delta>\
--- a/crates/testbed/src/fake_registry/mod.rs
+++ b/crates/testbed/src/fake_registry/mod.rs
@@ -1,5 +1,5 @@
-//! A fake Eureka registry: peers over one set of registrations, each with its own lag and its own way to fail. It does
-//! the server's side of the published REST API.
+//! A fake Eureka registry that implements the server side of Eureka's REST API. Several peers share one set
+//! of registrations; each peer has its own replication lag and its own injected faults.
 
 mod behavior;
 mod encoding;
--- a/crates/testbed/src/fake_registry/registrations.rs
+++ b/crates/testbed/src/fake_registry/registrations.rs
@@ -1,4 +1,4 @@
-//! All registrations of a registry, and how they were before.
+//! The registrations of a fake registry, with the snapshots of earlier states that lagging peers serve.
 
 use crate::{lock, unix_ms};
 use std::collections::{BTreeMap, VecDeque};
@@ -6,44 +6,44 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// No more former states than these are kept for peers that lag.
+/// The maximum number of snapshots kept, the current registration included; the oldest is dropped first.
 const MAX_SNAPSHOTS: usize = 4_096;
-/// How long a delta names a change, unless told otherwise.
+/// How long deltas list a change by default.
 const DELTA_WINDOW: Duration = Duration::from_millis(3_000);
-/// The application under which the fleet's servers register.
+/// The Eureka application of the PostgreSQL servers of a fleet.
 pub const SERVER_APP: &str = "DB";
-/// The group of a fleet's servers.
+/// The group in the metadata of a fleet's servers.
 const GROUP: &str = "2";
 
-/// A registration.
+/// An instance's registration, with the fields that Eureka keeps of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Registration {
-    /// Its application.
+    /// The application, in upper case.
     pub app: String,
-    /// Its id.
+    /// The instance's id. Lookups by id ignore the application.
     pub id: String,
-    /// Where the instance listens.
+    /// The IP address on which the instance listens.
     pub ip: String,
-    /// And on which port.
+    /// The port on which the instance listens.
     pub port: u16,
-    /// The status that counts.
+    /// The effective status, such as `UP`: the override if there is one, else the instance's own status.
     pub status: String,
-    /// The status set over the instance's own.
+    /// The status that an operator set in place of the instance's own; `UNKNOWN` without an override.
     pub overridden_status: String,
-    /// When the instance last changed itself, in ms.
+    /// When the instance last changed its own registration, by the instance's clock, in ms of Unix time.
     pub dirty_ms: i64,
-    /// When the registry last changed it, in ms.
+    /// When the registry last changed the registration, in ms of Unix time.
     pub updated_ms: i64,
-    /// When its lease began, in ms.
+    /// When the lease began, in ms of Unix time.
     pub registered_ms: i64,
-    /// Its change, as a delta names it.
+    /// The latest change, in the terms of a delta: `ADDED`, `MODIFIED` or `DELETED`.
     pub action: String,
-    /// The instance's metadata.
+    /// The instance's metadata; for a server its group, role and zone.
     pub metadata: BTreeMap<String, String>,
 }
 
 impl Registration {
-    /// A server of a fleet that is up.
+    /// The registration of a fleet's server with status `UP`.
     #[must_use]
     pub fn server(id: &str, address: SocketAddr, is_primary: bool, dirty_ms: i64) -> Self {
         let role = if is_primary { "primary" } else { "replica" };
@@ -62,35 +62,35 @@
         }
     }
 
-    /// Has it listen elsewhere.
+    /// Changes the address and port on which the instance listens.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.ip = address.ip().to_string();
         self.port = address.port();
     }
 
-    /// Whether it is to be sent requests, by the response that names it.
+    /// Whether this registration, as listed in a response, lets clients send requests to the instance.
     #[must_use]
     pub fn is_in_service(&self) -> bool {
         self.status == "UP" && self.action != "DELETED"
     }
 }
 
-/// A change that deltas name for a while.
+/// A change that deltas list until the delta window has passed.
 #[derive(Clone, Debug)]
 struct RecentChange {
-    at: Instant,
+    changed_at: Instant,
     registration: Registration,
 }
 
 /// The application and the id of a registration.
-type Key = (String, String);
+type RegistrationKey = (String, String);
 
-/// The registrations at some moment.
+/// The state of the registry at registration moment.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    all: BTreeMap<Key, Registration>,
+    all: BTreeMap<RegistrationKey, Registration>,
     recent: VecDeque<RecentChange>,
-    /// Instances that were deregistered, with the last timestamp of their own.
+    /// The ids of deregistered instances, each with its last `dirty_ms`.
     pub deregistered: BTreeMap<String, i64>,
 }
 
@@ -100,38 +100,40 @@
         self.all.values()
     }
 
-    /// The registrations that a delta names, in the order of their changes.
+    /// The registrations that a delta lists, oldest change first.
     pub fn recent(&self) -> impl Iterator<Item = &Registration> {
         self.recent.iter().map(|change| &change.registration)
     }
 
     fn add_recent(&mut self, registration: Registration) {
-        self.recent.push_back(RecentChange { at: Instant::now(), registration });
+        self.recent.push_back(RecentChange { changed_at: Instant::now(), registration });
     }
 }
 
-/// A snapshot, and from when on it was so.
+/// A snapshot and the time from which it was current.
 #[derive(Debug)]
 struct DatedSnapshot {
     since: Instant,
     snapshot: Arc<Snapshot>,
 }
 
-/// Who changes a registration.
+/// The source of a change to a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangedBy {
-    /// The instance itself, which gives it a later timestamp of its own.
+    /// The instance itself: `dirty_ms` is set to a later timestamp.
     Instance,
-    /// The registry, for an operator.
+    /// The registry, on behalf of an operator: `dirty_ms` is left alone.
     Registry,
 }
 
-/// All registrations, and how they were before.
+/// The registrations that the peers of a fake registry share, with earlier snapshots. Clones share the same
+/// state.
 #[derive(Clone)]
 pub struct Registrations {
+    /// Oldest first; the last is current.
     snapshots: Arc<Mutex<VecDeque<DatedSnapshot>>>,
     delta_window: Duration,
-    last_timestamp: Arc<Mutex<i64>>,
+    last_timestamp_ms: Arc<Mutex<i64>>,
 }
 
 impl Default for Registrations {
@@ -140,20 +142,21 @@
         Self {
             snapshots: Arc::new(Mutex::new(VecDeque::from([first]))),
             delta_window: DELTA_WINDOW,
-            last_timestamp: Arc::new(Mutex::new(unix_ms())),
+            last_timestamp_ms: Arc::new(Mutex::new(unix_ms())),
         }
     }
 }
 
 impl Registrations {
-    /// Has deltas name a change for so long only.
+    /// Sets how long deltas list a change.
     #[must_use]
     pub fn with_delta_window(mut self, window: Duration) -> Self {
         self.delta_window = window;
         self
     }
 
-    /// Forgets how things were before: a peer that lags far behind knows what is there now.
+    /// Drops all snapshots but the current one, so that even a peer with a long lag serves the current
+    /// registrations until the next change.
     pub fn forget_history(&self) {
         let mut snapshots = lock(&self.snapshots);
         let last = snapshots.pop_back();
@@ -161,136 +164,148 @@
         snapshots.extend(last);
     }
 
-    /// A timestamp in ms, later than all before.
+    /// A timestamp in ms of Unix time, later than all earlier ones.
     #[must_use]
     pub fn next_timestamp(&self) -> i64 {
-        let mut last = lock(&self.last_timestamp);
+        let mut last = lock(&self.last_timestamp_ms);
         *last = unix_ms().max(*last + 1);
         *last
     }
 
-    fn change(&self, change: impl FnOnce(&mut Snapshot)) {
+    /// Adds a snapshot that is the current one with this change; drops changes that are past the delta
+    /// window.
+    fn push_snapshot(&self, change: impl FnOnce(&mut Snapshot)) {
         let mut snapshots = lock(&self.snapshots);
         let mut snapshot =
             snapshots.back().map_or_else(Snapshot::default, |last| Snapshot::clone(&last.snapshot));
         change(&mut snapshot);
         let now = Instant::now();
-        snapshot.recent.retain(|change| now - change.at < self.delta_window);
+        snapshot.recent.retain(|change| now - change.changed_at < self.delta_window);
         snapshots.push_back(DatedSnapshot { since: now, snapshot: Arc::new(snapshot) });
         if snapshots.len() > MAX_SNAPSHOTS {
             snapshots.pop_front();
         }
     }
 
-    /// The registrations as they were so long ago.
+    /// The registrations as they were this long ago; the oldest known state if the lag reaches further back.
     pub fn snapshot(&self, lag: Duration) -> Arc<Snapshot> {
         let snapshots = lock(&self.snapshots);
-        let then = Instant::now().checked_sub(lag);
-        let is_known = |dated: &&DatedSnapshot| then.is_some_and(|then| dated.since <= then);
-        let known = snapshots.iter().rev().find(is_known).or(snapshots.front());
-        known.map_or_else(Arc::default, |dated| dated.snapshot.clone())
+        let moment = Instant::now().checked_sub(lag);
+        let has_begun = |dated: &&DatedSnapshot| moment.is_some_and(|moment| dated.since <= moment);
+        let found = snapshots.iter().rev().find(has_begun).or(snapshots.front());
+        found.map_or_else(Arc::default, |dated| dated.snapshot.clone())
     }
 
-    /// Registers, or registers anew.
+    /// Adds a registration, or replaces the registration with the same application and id.
     pub fn register(&self, mut registration: Registration) {
         registration.updated_ms = self.next_timestamp();
         registration.registered_ms = registration.updated_ms;
         registration.action = "ADDED".into();
-        self.change(|snapshot| {
+        self.push_snapshot(|snapshot| {
             snapshot.deregistered.remove(&registration.id);
             snapshot.add_recent(registration.clone());
             snapshot.all.insert((registration.app.clone(), registration.id.clone()), registration);
         });
     }
 
-    /// Registers many at once, with nothing in the deltas.
-    pub fn register_unnoticed(&self, registrations: impl IntoIterator<Item = Registration>) {
-        self.change(|snapshot| {
-            let keyed = registrations.into_iter().map(|one| ((one.app.clone(), one.id.clone()), one));
+    /// Adds many registrations at once without listing them in deltas.
+    pub fn register_without_delta(&self, registrations: impl IntoIterator<Item = Registration>) {
+        self.push_snapshot(|snapshot| {
+            let keyed = registrations
+                .into_iter()
+                .map(|registration| ((registration.app.clone(), registration.id.clone()), registration));
             snapshot.all.extend(keyed);
         });
     }
 
-    /// What is registered under this id.
+    /// The current registration with this id.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<Registration> {
-        self.snapshot(Duration::ZERO).all().find(|one| one.id == id).cloned()
+        self.snapshot(Duration::ZERO).all().find(|registration| registration.id == id).cloned()
     }
 
-    /// Has many servers change their own status at once.
+    /// Changes the status of many servers at once, as if each had changed itself. Unknown ids are skipped.
     pub fn set_status_of_servers(&self, ids: &[String], status: &str) {
         let timestamp = self.next_timestamp();
-        self.change(|snapshot| {
+        self.push_snapshot(|snapshot| {
             for id in ids {
-                let Some(one) = snapshot.all.get_mut(&(SERVER_APP.to_owned(), id.clone())) else { continue };
-                one.status = status.to_owned();
-                (one.dirty_ms, one.updated_ms) = (timestamp, timestamp);
-                one.action = "MODIFIED".into();
-                let changed = one.clone();
+                let Some(registration) = snapshot.all.get_mut(&(SERVER_APP.to_owned(), id.clone())) else {
+                    continue;
+                };
+                registration.status = status.to_owned();
+                (registration.dirty_ms, registration.updated_ms) = (timestamp, timestamp);
+                registration.action = "MODIFIED".into();
+                let changed = registration.clone();
                 snapshot.add_recent(changed);
             }
         });
     }
 
-    /// Changes a registration.
+    /// Applies a change to the registration with this id, if there is registration. Sets `action` and the
+    /// timestamps after the closure has run, `dirty_ms` only for `ChangedBy::Instance`.
     pub fn update(&self, id: &str, by: ChangedBy, change: impl FnOnce(&mut Registration)) {
         let (dirty_ms, updated_ms) = (self.next_timestamp(), self.next_timestamp());
-        self.change(|snapshot| {
-            if let Some(one) = snapshot.all.values_mut().find(|one| one.id == id) {
-                change(one);
-                one.updated_ms = updated_ms;
-                one.action = "MODIFIED".into();
+        self.push_snapshot(|snapshot| {
+            if let Some(registration) = snapshot.all.values_mut().find(|registration| registration.id == id) {
+                change(registration);
+                registration.updated_ms = updated_ms;
+                registration.action = "MODIFIED".into();
                 if by == ChangedBy::Instance {
-                    one.dirty_ms = dirty_ms;
+                    registration.dirty_ms = dirty_ms;
                 }
-                let changed = one.clone();
+                let changed = registration.clone();
                 snapshot.add_recent(changed);
             }
         });
     }
 
-    /// Sets a status over an instance's own.
+    /// Sets a status that overrides the instance's own.
     pub fn override_status(&self, id: &str, status: &str) {
-        self.update(id, ChangedBy::Registry, |one| {
-            one.status = status.to_owned();
-            one.overridden_status = status.to_owned();
+        self.update(id, ChangedBy::Registry, |registration| {
+            registration.status = status.to_owned();
+            registration.overridden_status = status.to_owned();
         });
     }
 
-    /// Takes the status back that was set over an instance's own.
+    /// Clears the override of a status; the status becomes `UP`.
     pub fn clear_override(&self, id: &str) {
-        self.update(id, ChangedBy::Registry, |one| {
-            one.status = "UP".into();
-            one.overridden_status = "UNKNOWN".into();
+        self.update(id, ChangedBy::Registry, |registration| {
+            registration.status = "UP".into();
+            registration.overridden_status = "UNKNOWN".into();
         });
     }
 
-    /// Takes a registration away; false if there is none.
+    /// Removes a registration and lists it as `DELETED` in deltas; returns whether there was registration.
     pub fn deregister(&self, id: &str) -> bool {
         let mut found = false;
-        self.change(|snapshot| {
-            let key = snapshot.all.iter().find(|(_, one)| one.id == id).map(|(key, _)| key.clone());
-            if let Some(mut one) = key.and_then(|key| snapshot.all.remove(&key)) {
-                one.action = "DELETED".into();
-                snapshot.deregistered.insert(one.id.clone(), one.dirty_ms);
-                snapshot.add_recent(one);
+        self.push_snapshot(|snapshot| {
+            let key = snapshot
+                .all
+                .iter()
+                .find(|(_, registration)| registration.id == id)
+                .map(|(key, _)| key.clone());
+            if let Some(mut registration) = key.and_then(|key| snapshot.all.remove(&key)) {
+                registration.action = "DELETED".into();
+                snapshot.deregistered.insert(registration.id.clone(), registration.dirty_ms);
+                snapshot.add_recent(registration);
                 found = true;
             }
         });
         found
     }
 
-    /// Loses all registrations, as a registry that restarts does.
+    /// Removes all registrations and recent changes, as a restart of the registry does: no delta lists a
+    /// deletion.
     pub fn clear(&self) {
-        self.change(|snapshot| {
+        self.push_snapshot(|snapshot| {
             snapshot.all.clear();
             snapshot.recent.clear();
         });
     }
 
-    /// All ids.
+    /// The ids of all current registrations, ordered by application and id.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
-        self.snapshot(Duration::ZERO).all().map(|one| one.id.clone()).collect()
+        self.snapshot(Duration::ZERO).all().map(|registration| registration.id.clone()).collect()
     }
 }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,5 +1,6 @@
-//! What passed on the sockets: what was reported to the pooler of which endpoint and when, what was sent where, what ran and
-//! what was answered. The rules are checked on this alone, by code that shares nothing with the pooler's.
+//! Records what passed on the sockets during a run: the endpoint statuses reported to the pooler, the
+//! statements sent to each endpoint, the writes that ran and the responses. The routing rules are checked on
+//! these records alone, by code that shares nothing with the pooler.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -7,61 +8,69 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Nothing new goes to an endpoint later than this after its drain or removal was reported to the pooler. Everything
-/// here is on one machine's clock, so that no allowance is made.
+/// The time after the report of an endpoint's drain or removal to the pooler within which statements may
+/// still be sent to the endpoint. All times come from one machine's clock, hence there is no allowance for
+/// clock differences.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
-/// A history that servers, registry and clients write together.
+/// A history into which the fake servers, the fake registry and the clients write.
 pub type SharedHistory = Arc<Mutex<History>>;
 
-/// The version of a registration: first the instance's own timestamp, then the registry's.
+/// The version of a registration, ordered by the instance's own timestamp, then by the registry's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RegistrationVersion {
-    /// When the instance last changed itself, in ms.
+    /// When the instance last changed its own registration, in ms of Unix time.
     pub dirty_ms: i64,
-    /// When the registry last changed the registration, in ms.
+    /// When the registry last changed the registration, in ms of Unix time.
     pub updated_ms: i64,
 }
 
 impl RegistrationVersion {
+    /// Older than every reported version.
     const OLDEST: Self = Self { dirty_ms: i64::MIN, updated_ms: i64::MIN };
 
-    /// Whether this is newer than another; where a lifted override counts, the registry's changes make it so as well.
-    fn is_newer_than(self, other: Self, counts_lift: bool) -> bool {
+    /// Whether this version is newer than `other` by the instance's own timestamp. With
+    /// `counts_cleared_override`, a later change by the registry makes it newer too if the instance's
+    /// timestamps are equal.
+    fn is_newer_than(self, other: Self, counts_cleared_override: bool) -> bool {
         self.dirty_ms > other.dirty_ms
-            || counts_lift && self.dirty_ms == other.dirty_ms && self.updated_ms > other.updated_ms
+            || counts_cleared_override
+                && self.dirty_ms == other.dirty_ms
+                && self.updated_ms > other.updated_ms
     }
 }
 
-/// A time in which the pooler knew that an endpoint drains.
+/// A period during which the pooler had been told that an endpoint drains or is removed.
 #[derive(Clone, Copy, Debug)]
 struct Drain {
+    /// The newest version that reported this drain.
     version: RegistrationVersion,
+    /// When the drain was first reported to the pooler.
     reported_at: Instant,
-    /// When something newer was reported to the pooler.
-    lifted_at: Option<Instant>,
+    /// When a newer registration that is in service was reported to the pooler; `None` while the drain lasts.
+    ended_at: Option<Instant>,
 }
 
-/// How a request ended for its client.
+/// The outcome of a request as its client sees it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestOutcome {
-    /// With its value.
+    /// The response holds a value.
     Served,
-    /// Nothing ran, and the client may come again.
+    /// The request was refused before anything ran; the client may retry it.
     Rejected,
-    /// With this error: nothing is promised.
+    /// The request ended with an error that does not tell whether it ran.
     Failed {
-        /// The error's SQLSTATE.
+        /// The error's SQLSTATE code.
         sql_state: String,
     },
-    /// Without a response.
+    /// The connection failed before a response arrived.
     Broken {
-        /// What became of the connection.
+        /// The error of the connection.
         reason: String,
     },
-    /// With the response to another request.
+    /// The client received the response to another request.
     ForeignResponse,
-    /// With neither a value nor an error.
+    /// The response holds neither a value nor an error.
     Empty,
 }
 
@@ -78,82 +87,84 @@
     }
 }
 
-/// What a response showed.
+/// The part of a response that the consistency rules check.
 #[derive(Clone, Copy, Debug)]
 pub enum Observation {
-    /// Nothing that can be checked.
+    /// The response holds nothing to check.
     Nothing,
-    /// A write's commit.
+    /// The response confirms a write's commit.
     Commit {
-        /// Its position.
+        /// The position of the commit, in ms.
         position_ms: i64,
     },
-    /// A read of data up to a position.
+    /// The response answers a read from data up to a position.
     Read {
-        /// What the read had to see.
+        /// The position up to which the read had to see all commits, in ms.
         required_ms: i64,
-        /// What it was answered from.
+        /// The position of the data that the read returned, in ms.
         position_ms: i64,
     },
 }
 
-/// A response that came in time.
+/// A response that reached its client in time.
 #[derive(Clone, Debug)]
 pub struct ResponseRecord<'r> {
     /// The request's id.
     pub id: &'r str,
     /// The client's session.
     pub session: &'r str,
-    /// The phase in which it was asked.
+    /// The phase in which the request was sent.
     pub phase: Phase,
-    /// How it ended.
+    /// The outcome of the request.
     pub outcome: &'r RequestOutcome,
-    /// What it showed.
+    /// The data to check.
     pub observation: Observation,
 }
 
-/// A part of a run.
+/// A part of a run, numbered from 0. `PhaseCounts` covers the current one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Phase(u64);
 
-/// The requests of a phase.
+/// The number of requests in a phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PhaseCounts {
-    /// Those asked.
+    /// Requests sent during the phase.
     pub requests: u64,
-    /// Those served.
+    /// Requests sent and served during the phase.
     pub served: u64,
 }
 
-/// The rules, as they were kept in a history.
+/// The result of checking the rules on one or more histories: totals and violations.
 #[derive(Clone, Debug, Default)]
 pub struct RuleReport {
-    /// Requests that clients asked.
+    /// Requests that clients sent.
     pub requests: u64,
-    /// Those that got a final answer in time.
+    /// Requests that got a final response in time.
     pub answered: u64,
-    /// Those that were served.
+    /// Requests that were served in time.
     pub served: u64,
-    /// Drains that were reported to the pooler.
+    /// Drains and removals that were reported to the pooler.
     pub drains: u64,
-    /// Sends to an endpoint too long after its drain was reported.
+    /// Statements sent to an endpoint later than `DRAIN_GRACE` after its drain was reported.
     pub drain_violations: u64,
-    /// The latest send to an endpoint after its drain was reported, in ms.
+    /// The longest time from the report of a drain to a statement sent to the endpoint during this drain, in
+    /// ms.
     pub worst_drain_ms: f64,
-    /// Reads answered from older data than their class allows.
+    /// Reads answered from older data than their request class allows.
     pub stale_reads: u64,
     /// Writes that ran more than once.
     pub doubled_writes: u64,
-    /// Writes that were answered as served and never ran.
+    /// Writes that were reported as served to the client but never ran.
     pub served_without_row: u64,
-    /// Connections to where no endpoint may be.
+    /// Connections to addresses outside the networks in which endpoints may be.
     pub sends_outside_networks: u64,
-    /// What each endpoint was sent.
+    /// The number of statements sent to each endpoint, by its id.
     pub sends: BTreeMap<String, u64>,
 }
 
 impl RuleReport {
-    /// Adds another history's report, but for the sends.
+    /// Adds another history's report: sums the counters and keeps the greater `worst_drain_ms`. `sends` stays
+    /// as it is.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.answered += other.answered;
@@ -168,34 +179,42 @@
     }
 }
 
-/// All that was seen.
+/// All records of a run.
 #[derive(Debug, Default)]
 pub struct History {
+    /// By endpoint, oldest first; only the last drain can be open.
     drains: HashMap<String, Vec<Drain>>,
-    /// Endpoints whose drain is to count as over once the registry reports them UP again.
-    lifted_overrides: HashSet<String>,
+    /// Endpoints whose drain ends when the registry alone reports them UP again, without a change by the
+    /// instance.
+    cleared_overrides: HashSet<String>,
+    /// By endpoint, the newest version that was reported as in service.
     newest_in_service: HashMap<String, RegistrationVersion>,
-    /// By endpoint, when the first byte of each statement came.
+    /// By endpoint, the arrival time of each statement's first byte.
     sends: HashMap<String, Vec<Instant>>,
-    /// By request, how often it ran.
+    /// By request id, the number of times that the write ran.
     executions: HashMap<String, u32>,
+    /// Ids of the writes that were reported as served.
     served_writes: HashSet<String>,
-    /// By session, the latest commit in a response to its client.
+    /// By session, the position of the latest commit in a response to its client, in ms.
     session_commits: HashMap<String, i64>,
-    /// The latest commit in a response to any client.
+    /// The position of the latest commit in a response to any client, in ms.
     latest_commit: i64,
     stale_reads: u64,
+    /// By address outside the endpoints' networks, the number of connections to it.
     outside_connections: HashMap<SocketAddr, u64>,
     requests: u64,
     answered: u64,
     served: u64,
+    /// By printed outcome, the number of responses.
     outcomes: BTreeMap<String, u64>,
     phase: Phase,
     phase_counts: PhaseCounts,
 }
 
 impl History {
-    /// A response with this status of an endpoint has been written to the pooler.
+    /// Records that a response with this status of an endpoint has been written to the pooler. Opens a drain
+    /// if the endpoint is out of service and the version is not outdated; ends the open drain if the endpoint
+    /// is in service and the version is newer than the drain's.
     pub fn record_reported(
         &mut self,
         endpoint: &str,
@@ -205,18 +224,18 @@
     ) {
         let drains = self.drains.entry(endpoint.to_owned()).or_default();
         let newest = self.newest_in_service.entry(endpoint.to_owned()).or_insert(RegistrationVersion::OLDEST);
-        let counts_lift = self.lifted_overrides.contains(endpoint);
-        let open_drain = drains.last_mut().filter(|drain| drain.lifted_at.is_none());
+        let counts_cleared_override = self.cleared_overrides.contains(endpoint);
+        let open_drain = drains.last_mut().filter(|drain| drain.ended_at.is_none());
         match (open_drain, in_service) {
-            (Some(drain), true) if version.is_newer_than(drain.version, counts_lift) => {
-                drain.lifted_at = Some(now);
+            (Some(drain), true) if version.is_newer_than(drain.version, counts_cleared_override) => {
+                drain.ended_at = Some(now);
             }
             (Some(drain), false) => drain.version = drain.version.max(version),
             (None, false)
-                if version.is_newer_than(*newest, counts_lift)
-                    || version.dirty_ms == newest.dirty_ms && !counts_lift =>
+                if version.is_newer_than(*newest, counts_cleared_override)
+                    || version.dirty_ms == newest.dirty_ms && !counts_cleared_override =>
             {
-                drains.push(Drain { version, reported_at: now, lifted_at: None });
+                drains.push(Drain { version, reported_at: now, ended_at: None });
             }
             _ => {}
         }
@@ -225,58 +244,62 @@
         }
     }
 
-    /// The status set over an endpoint's own has been taken back, and the operator counts that.
+    /// Records that an endpoint's status override was cleared in a run whose operator's file lets this end a
+    /// drain.
     pub fn record_lifted_override(&mut self, endpoint: &str) {
-        self.lifted_overrides.insert(endpoint.to_owned());
+        self.cleared_overrides.insert(endpoint.to_owned());
     }
 
-    /// A statement's first byte has come to an endpoint.
+    /// Records the arrival of a statement's first byte at an endpoint.
     pub fn record_send(&mut self, endpoint: &str, first_byte_at: Instant) {
         self.sends.entry(endpoint.to_owned()).or_default().push(first_byte_at);
     }
 
-    /// A write runs on a primary.
+    /// Records that a primary runs the write of this request id.
     pub fn record_execution(&mut self, id: &str) {
         *self.executions.entry(id.to_owned()).or_default() += 1;
     }
 
-    /// Somebody connected to where no endpoint may be.
+    /// Records a connection to an address outside the networks in which endpoints may be.
     pub fn record_outside_connection(&mut self, address: SocketAddr) {
         *self.outside_connections.entry(address).or_default() += 1;
     }
 
-    /// The latest commit in a response to a session's client, which its reads must see.
+    /// The position of the latest commit in a response to the session's client, in ms; 0 before the first.
+    /// The session's reads must see this commit.
     #[must_use]
     pub fn session_commit(&self, session: &str) -> i64 {
         self.session_commits.get(session).copied().unwrap_or(0)
     }
 
-    /// The latest commit in a response to any client, which strong reads must see.
+    /// The position of the latest commit in a response to any client, in ms; 0 before the first. Strong reads
+    /// must see this commit.
     #[must_use]
     pub fn latest_commit(&self) -> i64 {
         self.latest_commit
     }
 
-    /// A client asks; the phase in which it does goes with its response.
+    /// Records that a client sends a request. The returned phase belongs into the request's `ResponseRecord`.
     pub fn record_request(&mut self) -> Phase {
         self.requests += 1;
         self.phase_counts.requests += 1;
         self.phase
     }
 
-    /// Another phase of the run begins: what was asked before does not count in it.
+    /// Begins another phase of the run. Responses to requests of earlier phases do not count in the new
+    /// phase.
     pub fn begin_phase(&mut self) {
         self.phase.0 += 1;
         self.phase_counts = PhaseCounts::default();
     }
 
-    /// The requests of this phase.
+    /// The request counts of the current phase.
     #[must_use]
     pub fn phase_counts(&self) -> PhaseCounts {
         self.phase_counts
     }
 
-    /// A client has a response in time.
+    /// Records a response that reached its client in time.
     pub fn record_response(&mut self, response: &ResponseRecord<'_>) {
         self.answered += 1;
         *self.outcomes.entry(response.outcome.to_string()).or_default() += 1;
@@ -299,29 +322,29 @@
         }
     }
 
-    /// How many statements an endpoint has received.
+    /// The number of statements that an endpoint has received.
     #[must_use]
     pub fn sends(&self, endpoint: &str) -> usize {
         self.sends.get(endpoint).map_or(0, Vec::len)
     }
 
-    /// How many responses there were of each outcome, by its words.
+    /// The number of responses with each outcome, by the outcome's printed form.
     #[must_use]
     pub fn outcomes(&self) -> &BTreeMap<String, u64> {
         &self.outcomes
     }
 
-    /// The rules, on all that was seen.
+    /// Checks the rules on all records so far.
     #[must_use]
     pub fn report(&self) -> RuleReport {
-        let ran = |id: &&String| self.executions.contains_key(*id);
+        let has_run = |id: &&String| self.executions.contains_key(*id);
         let mut report = RuleReport {
             requests: self.requests,
             answered: self.answered,
             served: self.served,
             stale_reads: self.stale_reads,
             doubled_writes: self.executions.values().filter(|count| **count > 1).count() as u64,
-            served_without_row: self.served_writes.iter().filter(|id| !ran(id)).count() as u64,
+            served_without_row: self.served_writes.iter().filter(|id| !has_run(id)).count() as u64,
             sends_outside_networks: self.outside_connections.values().sum(),
             sends: self.sends.iter().map(|(id, sends)| (id.clone(), sends.len() as u64)).collect(),
             ..RuleReport::default()
@@ -335,15 +358,17 @@
         report
     }
 
+    /// Checks the statements sent to an endpoint during one drain. A drain covers sends from its report up to
+    /// its end.
     fn check_drain(&self, endpoint: &str, drain: &Drain, report: &mut RuleReport) {
         for sent_at in self.sends.get(endpoint).into_iter().flatten() {
-            let is_lifted = drain.lifted_at.is_some_and(|lifted_at| *sent_at >= lifted_at);
-            if *sent_at < drain.reported_at || is_lifted {
+            let has_ended = drain.ended_at.is_some_and(|ended_at| *sent_at >= ended_at);
+            if *sent_at < drain.reported_at || has_ended {
                 continue;
             }
-            let late = *sent_at - drain.reported_at;
-            report.worst_drain_ms = report.worst_drain_ms.max(late.as_secs_f64() * 1_000.0);
-            report.drain_violations += u64::from(late > DRAIN_GRACE);
+            let delay = *sent_at - drain.reported_at;
+            report.worst_drain_ms = report.worst_drain_ms.max(delay.as_secs_f64() * 1_000.0);
+            report.drain_violations += u64::from(delay > DRAIN_GRACE);
         }
     }
 }
--- a/crates/testbed/src/registry_benchmark.rs
+++ b/crates/testbed/src/registry_benchmark.rs
@@ -1,5 +1,5 @@
-//! What a registry of many instances costs the pooler: time and memory of a full read and of a delta, as the system
-//! counts them for its process.
+//! Measures the cost of a large registry for the pooler: processor time and memory of full reads and deltas,
+//! taken from the kernel's accounting of the pooler's process.
 
 use crate::error::TestbedError;
 use crate::fake_registry::{Registration, Registrations, RegistryPeer};
@@ -12,77 +12,80 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// The interval at which the measured pooler polls the registry.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How many deltas are measured with changes in them, and without.
+/// The minimum number of deltas in each of the two measurements, without and with changes.
 const MEASURED_DELTAS: u64 = 40;
-/// How many instances change between two deltas.
+/// The number of instances that change between two deltas, in the measurement with changes.
 const CHANGES_PER_DELTA: usize = 10;
-/// After so many deltas the pooler has settled.
+/// The number of deltas after which the pooler's memory is measured, past its start and first full read.
 const SETTLING_DELTAS: u64 = 3;
-/// After this time a pooler without a registry has settled.
+/// How long a pooler without a registry runs before its memory is measured, past its start.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
+/// The number of servers in each group, one of them the primary.
 const GROUP_SIZE: usize = 6;
-/// The polling interval for which the share of the processor is given, in ms.
-const USUAL_INTERVAL_MS: f64 = 30_000.0;
+/// The polling interval for which the processor share is reported, in ms.
+const REFERENCE_POLL_INTERVAL_MS: f64 = 30_000.0;
 
-/// The system's figures of a process.
-struct ProcessFigures {
-    id: u32,
+/// The kernel's statistics of a process, read from `/proc`.
+struct ProcessStats {
+    process_id: u32,
 }
 
-impl ProcessFigures {
-    /// The processor time that a process of one thread has had.
-    fn cpu(&self) -> Result<Duration, TestbedError> {
-        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.id))?;
+impl ProcessStats {
+    /// The processor time of the process's main thread, the whole for a process with a single thread.
+    fn cpu_time(&self) -> Result<Duration, TestbedError> {
+        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.process_id))?;
         let ns = text.split_ascii_whitespace().next().and_then(|text| text.parse().ok());
         ns.map(Duration::from_nanos).ok_or(TestbedError::NoProcessFigure("schedstat"))
     }
 
-    /// A figure of its status, in KB.
+    /// A memory field of `/proc/<pid>/status`, in KB.
     fn memory_kb(&self, name: &'static str) -> Result<u64, TestbedError> {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.id))?;
+        let text = std::fs::read_to_string(format!("/proc/{}/status", self.process_id))?;
         let line = text.lines().find_map(|line| line.strip_prefix(name));
         let kb = line.and_then(|line| line.split_ascii_whitespace().nth(1)?.parse().ok());
         kb.ok_or(TestbedError::NoProcessFigure(name))
     }
 
     fn threads(&self) -> Result<usize, TestbedError> {
-        Ok(std::fs::read_dir(format!("/proc/{}/task", self.id))?.count())
+        Ok(std::fs::read_dir(format!("/proc/{}/task", self.process_id))?.count())
     }
 
     fn descriptors(&self) -> Result<usize, TestbedError> {
-        Ok(std::fs::read_dir(format!("/proc/{}/fd", self.id))?.count())
+        Ok(std::fs::read_dir(format!("/proc/{}/fd", self.process_id))?.count())
     }
 }
 
-/// A pooler without a registry, to compare with.
-struct IdleFigures {
+/// The resources of a pooler without a registry: the baseline of the reported differences.
+struct IdleBaseline {
     memory_kb: u64,
     threads: usize,
     descriptors: usize,
 }
 
-impl IdleFigures {
+impl IdleBaseline {
     fn measure(program: &Path) -> Result<Self, TestbedError> {
         let pooler = PoolerProcess::start(program, None)?;
         std::thread::sleep(SETTLING_TIME);
-        let figures = ProcessFigures { id: pooler.id() };
+        let stats = ProcessStats { process_id: pooler.id() };
         Ok(Self {
-            memory_kb: figures.memory_kb("VmRSS")?,
-            threads: figures.threads()?,
-            descriptors: figures.descriptors()?,
+            memory_kb: stats.memory_kb("VmRSS")?,
+            threads: stats.threads()?,
+            descriptors: stats.descriptors()?,
         })
     }
 }
 
-/// The cost of deltas.
+/// The cost of reading deltas.
 struct DeltaCost {
+    /// The mean processor time of one delta, in ms.
     cpu_ms: f64,
-    /// Full reads that were needed meanwhile.
+    /// The number of full reads during the measurement.
     full_reads: u64,
 }
 
-/// A registry of many instances.
+/// A fake registry with one peer and many instances.
 struct LargeRegistry {
     registrations: Registrations,
     ids: Vec<String>,
@@ -92,11 +95,11 @@
 impl LargeRegistry {
     fn start(instances: usize) -> Result<Self, TestbedError> {
         let registrations = Registrations::default().with_delta_window(POLL_INTERVAL * 3 / 4);
-        let ids: Vec<String> = (0..instances).map(|at| format!("server-{at:05}")).collect();
-        let all = ids.iter().enumerate().map(|(at, id)| large_registration(at, id, &registrations));
-        registrations.register_unnoticed(all.collect::<Vec<_>>());
+        let ids: Vec<String> = (0..instances).map(|index| format!("server-{index:05}")).collect();
+        let all = ids.iter().enumerate().map(|(index, id)| benchmark_registration(index, id, &registrations));
+        registrations.register_without_delta(all.collect::<Vec<_>>());
         let peer = RegistryPeer::start(&registrations, &SharedHistory::default())?;
-        peer.compress(false);
+        peer.set_compression(false);
         Ok(Self { registrations, ids, peer })
     }
 
@@ -105,14 +108,16 @@
         OperatorConfig { peers, interval: POLL_INTERVAL, extra: Vec::new() }.to_string()
     }
 
+    /// Waits until the pooler has read this many deltas since the registry's start.
     fn wait_for_deltas(&self, count: u64) -> Result<(), TestbedError> {
-        wait_until("a delta", || self.peer.received().delta_reads >= count)
+        wait_until("the pooler's next delta read", || self.peer.received().delta_reads >= count)
     }
 
-    /// Measures deltas with so many changes in each.
-    fn measure_deltas(&self, figures: &ProcessFigures, changes: usize) -> Result<DeltaCost, TestbedError> {
+    /// Measures at least `MEASURED_DELTAS` deltas. Before each, `changes` instances switch between `UP` and
+    /// `OUT_OF_SERVICE`.
+    fn measure_deltas(&self, stats: &ProcessStats, changes: usize) -> Result<DeltaCost, TestbedError> {
         let before = self.peer.received();
-        let cpu_before = figures.cpu()?;
+        let cpu_before = stats.cpu_time()?;
         let changing = &self.ids[..changes.min(self.ids.len())];
         let mut deltas = before.delta_reads;
         let mut is_up = true;
@@ -125,26 +130,27 @@
             self.wait_for_deltas(deltas + 1)?;
             deltas = self.peer.received().delta_reads;
         }
-        let spent = figures.cpu()? - cpu_before;
+        let spent = stats.cpu_time()? - cpu_before;
         Ok(DeltaCost {
-            cpu_ms: milliseconds(spent) / (deltas - before.delta_reads) as f64,
+            cpu_ms: as_ms(spent) / (deltas - before.delta_reads) as f64,
             full_reads: self.peer.received().full_reads - before.full_reads,
         })
     }
 }
 
-fn large_registration(at: usize, id: &str, registrations: &Registrations) -> Registration {
-    let role = if at % GROUP_SIZE == 0 { "primary" } else { "replica" };
+/// The registration of the server at this index. Each server has an address of its own.
+fn benchmark_registration(index: usize, id: &str, registrations: &Registrations) -> Registration {
+    let role = if index % GROUP_SIZE == 0 { "primary" } else { "replica" };
     Registration {
         app: "DB".into(),
         id: id.to_owned(),
-        ip: format!("127.10.{}.{}", at / 250, at % 250 + 1),
+        ip: format!("127.10.{}.{}", index / 250, index % 250 + 1),
         port: 6_543,
         status: "UP".into(),
         overridden_status: "UNKNOWN".into(),
         dirty_ms: registrations.next_timestamp(),
         metadata: BTreeMap::from([
-            ("group".to_owned(), (at / GROUP_SIZE).to_string()),
+            ("group".to_owned(), (index / GROUP_SIZE).to_string()),
             ("role".to_owned(), role.to_owned()),
             ("zone".to_owned(), "adum".to_owned()),
         ]),
@@ -152,46 +158,48 @@
     }
 }
 
-fn milliseconds(time: Duration) -> f64 {
+fn as_ms(time: Duration) -> f64 {
     time.as_secs_f64() * 1_000.0
 }
 
-fn rounded(value: f64) -> f64 {
+fn to_3_decimals(value: f64) -> f64 {
     (value * 1_000.0).round() / 1_000.0
 }
 
-/// So many KB more than another, in MB.
-fn megabytes_over(kb: u64, other_kb: u64) -> f64 {
-    rounded(kb.saturating_sub(other_kb) as f64 / 1_024.0)
+/// By how many MB a size exceeds another, both given in KB; 0 if it is smaller.
+fn difference_mb(kb: u64, baseline_kb: u64) -> f64 {
+    to_3_decimals(kb.saturating_sub(baseline_kb) as f64 / 1_024.0)
 }
 
-/// Measures with so many instances; the figures as a JSON object.
+/// Measures the pooler with a registry of this many instances and returns the results as a JSON object.
 ///
 /// # Errors
 ///
-/// When it can't be measured.
+/// If the registry or the pooler does not start, a delta read takes too long or a process statistic is
+/// missing.
 pub fn measure(program: &Path, instances: usize) -> Result<Value, TestbedError> {
-    let idle = IdleFigures::measure(program)?;
+    let idle = IdleBaseline::measure(program)?;
     let registry = LargeRegistry::start(instances)?;
     let started = Instant::now();
     let pooler = PoolerProcess::start_with_registry(program, &registry.operator_config())?;
-    let figures = ProcessFigures { id: pooler.id() };
-    let (full_cpu, full_wall) = (figures.cpu()?, started.elapsed());
+    let stats = ProcessStats { process_id: pooler.id() };
+    let (full_cpu, full_elapsed) = (stats.cpu_time()?, started.elapsed());
     registry.wait_for_deltas(SETTLING_DELTAS)?;
-    let (peak_kb, held_kb) = (figures.memory_kb("VmHWM")?, figures.memory_kb("VmRSS")?);
-    let (threads, descriptors) = (figures.threads()?, figures.descriptors()?);
-    let empty = registry.measure_deltas(&figures, 0)?;
-    let changing = registry.measure_deltas(&figures, CHANGES_PER_DELTA)?;
+    let (peak_kb, resident_kb) = (stats.memory_kb("VmHWM")?, stats.memory_kb("VmRSS")?);
+    let (threads, descriptors) = (stats.threads()?, stats.descriptors()?);
+    let empty = registry.measure_deltas(&stats, 0)?;
+    let changing = registry.measure_deltas(&stats, CHANGES_PER_DELTA)?;
     Ok(json!({
-        "instances": instances, "idle_mb": rounded(idle.memory_kb as f64 / 1_024.0),
-        "full_peak_over_idle_mb": megabytes_over(peak_kb, idle.memory_kb),
-        "held_over_idle_mb": megabytes_over(held_kb, idle.memory_kb),
-        "start_and_full_cpu_ms": rounded(milliseconds(full_cpu)),
-        "start_and_full_wall_ms": rounded(milliseconds(full_wall)),
-        "empty_delta_cpu_ms": rounded(empty.cpu_ms), "delta_of_10_cpu_ms": rounded(changing.cpu_ms),
-        "ten_changes_cpu_ms": rounded(changing.cpu_ms - empty.cpu_ms),
+        "instances": instances, "idle_mb": to_3_decimals(idle.memory_kb as f64 / 1_024.0),
+        "full_peak_over_idle_mb": difference_mb(peak_kb, idle.memory_kb),
+        "held_over_idle_mb": difference_mb(resident_kb, idle.memory_kb),
+        "start_and_full_cpu_ms": to_3_decimals(as_ms(full_cpu)),
+        "start_and_full_wall_ms": to_3_decimals(as_ms(full_elapsed)),
+        "empty_delta_cpu_ms": to_3_decimals(empty.cpu_ms),
+        "delta_of_10_cpu_ms": to_3_decimals(changing.cpu_ms),
+        "ten_changes_cpu_ms": to_3_decimals(changing.cpu_ms - empty.cpu_ms),
         "fulls_meanwhile": changing.full_reads,
-        "cpu_share_at_30_s": rounded(changing.cpu_ms / USUAL_INTERVAL_MS),
+        "cpu_share_at_30_s": to_3_decimals(changing.cpu_ms / REFERENCE_POLL_INTERVAL_MS),
         "more_threads": threads - idle.threads, "more_descriptors": descriptors - idle.descriptors,
     }))
 }
