--- a/crates/testbed/src/fake_registry/encoding.rs
+++ b/crates/testbed/src/fake_registry/encoding.rs
@@ -4,8 +4,8 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Eureka's `apps__hashcode`: the number of registrations in each status. A client that computes another
-/// value after it applied a delta has missed a change.
+/// Eureka's `apps__hashcode`: the number of registrations in each status, such as `DOWN_1_UP_3_`. A client
+/// that computes another value after it applied a delta has missed a change.
 pub fn hash_code<'r>(registrations: impl Iterator<Item = &'r Registration>) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for registration in registrations {
--- a/crates/testbed/src/fake_registry/registrations.rs
+++ b/crates/testbed/src/fake_registry/registrations.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The maximum number of snapshots kept, the current registration included; the oldest is dropped first.
+/// The maximum number of snapshots kept, the current one included; the oldest is dropped first.
 const MAX_SNAPSHOTS: usize = 4_096;
 /// How long deltas list a change by default.
 const DELTA_WINDOW: Duration = Duration::from_millis(3_000);
@@ -85,7 +85,7 @@
 /// The application and the id of a registration.
 type RegistrationKey = (String, String);
 
-/// The state of the registry at registration moment.
+/// The state of the registry at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     all: BTreeMap<RegistrationKey, Registration>,
@@ -172,8 +172,7 @@
         *last
     }
 
-    /// Adds a snapshot that is the current one with this change; drops changes that are past the delta
-    /// window.
+    /// Appends a snapshot: the current one with this change, less the recent changes past the delta window.
     fn push_snapshot(&self, change: impl FnOnce(&mut Snapshot)) {
         let mut snapshots = lock(&self.snapshots);
         let mut snapshot =
@@ -229,19 +228,19 @@
         let timestamp = self.next_timestamp();
         self.push_snapshot(|snapshot| {
             for id in ids {
-                let Some(registration) = snapshot.all.get_mut(&(SERVER_APP.to_owned(), id.clone())) else {
+                let Some(server) = snapshot.all.get_mut(&(SERVER_APP.to_owned(), id.clone())) else {
                     continue;
                 };
-                registration.status = status.to_owned();
-                (registration.dirty_ms, registration.updated_ms) = (timestamp, timestamp);
-                registration.action = "MODIFIED".into();
-                let changed = registration.clone();
+                server.status = status.to_owned();
+                (server.dirty_ms, server.updated_ms) = (timestamp, timestamp);
+                server.action = "MODIFIED".into();
+                let changed = server.clone();
                 snapshot.add_recent(changed);
             }
         });
     }
 
-    /// Applies a change to the registration with this id, if there is registration. Sets `action` and the
+    /// Applies a change to the registration with this id, if there is one. Sets `action` and the
     /// timestamps after the closure has run, `dirty_ms` only for `ChangedBy::Instance`.
     pub fn update(&self, id: &str, by: ChangedBy, change: impl FnOnce(&mut Registration)) {
         let (dirty_ms, updated_ms) = (self.next_timestamp(), self.next_timestamp());
@@ -275,7 +274,7 @@
         });
     }
 
-    /// Removes a registration and lists it as `DELETED` in deltas; returns whether there was registration.
+    /// Removes a registration and lists it as `DELETED` in deltas; returns whether there was one.
     pub fn deregister(&self, id: &str) -> bool {
         let mut found = false;
         self.push_snapshot(|snapshot| {
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -58,14 +58,14 @@
     Served,
     /// The request was refused before anything ran; the client may retry it.
     Rejected,
-    /// The request ended with an error that does not tell whether it ran.
+    /// The request ended with an error; whether it ran is unknown.
     Failed {
         /// The error's SQLSTATE code.
         sql_state: String,
     },
-    /// The connection failed before a response arrived.
+    /// No response arrived.
     Broken {
-        /// The error of the connection.
+        /// The error of the client's connection.
         reason: String,
     },
     /// The client received the response to another request.
@@ -121,7 +121,7 @@
     pub observation: Observation,
 }
 
-/// A part of a run, numbered from 0. `PhaseCounts` covers the current one.
+/// A part of a run, numbered from 0. `History` counts the current phase's requests apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Phase(u64);
 
@@ -147,8 +147,7 @@
     pub drains: u64,
     /// Statements sent to an endpoint later than `DRAIN_GRACE` after its drain was reported.
     pub drain_violations: u64,
-    /// The longest time from the report of a drain to a statement sent to the endpoint during this drain, in
-    /// ms.
+    /// The longest delay of a statement sent to a draining endpoint after the drain was reported, in ms.
     pub worst_drain_ms: f64,
     /// Reads answered from older data than their request class allows.
     pub stale_reads: u64,
@@ -163,8 +162,8 @@
 }
 
 impl RuleReport {
-    /// Adds another history's report: sums the counters and keeps the greater `worst_drain_ms`. `sends` stays
-    /// as it is.
+    /// Adds another history's report: sums the counters and keeps the greater `worst_drain_ms`. The other
+    /// report's `sends` are left out.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.answered += other.answered;
@@ -182,7 +181,7 @@
 /// All records of a run.
 #[derive(Debug, Default)]
 pub struct History {
-    /// By endpoint, oldest first; only the last drain can be open.
+    /// By endpoint, its drains, oldest first; only the last one can be open.
     drains: HashMap<String, Vec<Drain>>,
     /// Endpoints whose drain ends when the registry alone reports them UP again, without a change by the
     /// instance.
@@ -279,15 +278,14 @@
         self.latest_commit
     }
 
-    /// Records that a client sends a request. The returned phase belongs into the request's `ResponseRecord`.
+    /// Records that a client sends a request. The returned phase belongs in the request's `ResponseRecord`.
     pub fn record_request(&mut self) -> Phase {
         self.requests += 1;
         self.phase_counts.requests += 1;
         self.phase
     }
 
-    /// Begins another phase of the run. Responses to requests of earlier phases do not count in the new
-    /// phase.
+    /// Begins another phase of the run. Requests sent in earlier phases do not count in it.
     pub fn begin_phase(&mut self) {
         self.phase.0 += 1;
         self.phase_counts = PhaseCounts::default();
--- a/crates/testbed/src/registry_benchmark.rs
+++ b/crates/testbed/src/registry_benchmark.rs
@@ -18,9 +18,9 @@
 const MEASURED_DELTAS: u64 = 40;
 /// The number of instances that change between two deltas, in the measurement with changes.
 const CHANGES_PER_DELTA: usize = 10;
-/// The number of deltas after which the pooler's memory is measured, past its start and first full read.
+/// The number of deltas after which a pooler has settled and its memory is measured.
 const SETTLING_DELTAS: u64 = 3;
-/// How long a pooler without a registry runs before its memory is measured, past its start.
+/// The time after which a pooler without a registry has settled and its memory is measured.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
 /// The number of servers in each group, one of them the primary.
 const GROUP_SIZE: usize = 6;
