--- a/crates/testbed/src/fake_registry/registrations.rs
+++ b/crates/testbed/src/fake_registry/registrations.rs
@@ -228,13 +228,13 @@
         let timestamp = self.next_timestamp();
         self.push_snapshot(|snapshot| {
             for id in ids {
-                let Some(server) = snapshot.all.get_mut(&(SERVER_APP.to_owned(), id.clone())) else {
+                let Some(registration) = snapshot.all.get_mut(&(SERVER_APP.to_owned(), id.clone())) else {
                     continue;
                 };
-                server.status = status.to_owned();
-                (server.dirty_ms, server.updated_ms) = (timestamp, timestamp);
-                server.action = "MODIFIED".into();
-                let changed = server.clone();
+                registration.status = status.to_owned();
+                (registration.dirty_ms, registration.updated_ms) = (timestamp, timestamp);
+                registration.action = "MODIFIED".into();
+                let changed = registration.clone();
                 snapshot.add_recent(changed);
             }
         });
--- a/crates/testbed/src/registry_benchmark.rs
+++ b/crates/testbed/src/registry_benchmark.rs
@@ -33,7 +33,7 @@
 }
 
 impl ProcessStats {
-    /// The processor time of the process's main thread, the whole for a process with a single thread.
+    /// The processor time of the main thread, which in a single-threaded process is that of the process.
     fn cpu_time(&self) -> Result<Duration, TestbedError> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.process_id))?;
         let ns = text.split_ascii_whitespace().next().and_then(|text| text.parse().ok());
