--- a/crates/testbed/src/fake_registry/registrations.rs
+++ b/crates/testbed/src/fake_registry/registrations.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The maximum number of snapshots kept, the current one included; the oldest is dropped first.
+/// The maximum number of snapshots kept for lagging peers, the current one included; the oldest goes first.
 const MAX_SNAPSHOTS: usize = 4_096;
 /// How long deltas list a change by default.
 const DELTA_WINDOW: Duration = Duration::from_millis(3_000);
