--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -80,7 +80,7 @@
         let started = Instant::now();
         let schedule = Schedule::new(self.longest_deadline);
         self.stages.draining.set();
-        tracing::info!("graceful shutdown started; {} clients are connected", (self.connected_clients)());
+        tracing::info!("draining with {} clients connected", (self.connected_clients)());
         Timer::at(started + schedule.closing_idle).await;
         self.stages.closing_idle.set();
         Timer::at(started + schedule.not_accepting).await;
