--- a/crates/proxy/src/config/proxy_settings.rs
+++ b/crates/proxy/src/config/proxy_settings.rs
@@ -44,12 +44,12 @@
 }
 
 fn duration_or(map: &SettingsMap, key: &str, default_ms: f64) -> Result<Duration, SettingsError> {
-    Ok(duration_from_millis(map.amount_or(key, default_ms)?).to_duration())
+    Ok(duration_from_millis(map.non_negative_number_or(key, default_ms)?).to_duration())
 }
 
 fn longest_deadline(map: &SettingsMap) -> Result<Duration, SettingsError> {
     let mut longest = Duration::ZERO;
-    for class in 0..map.amount("Lanes.count")? as usize {
+    for class in 0..map.non_negative_number("Lanes.count")? as usize {
         let deadline = duration_or(map, &format!("Lanes.{class}.Deadline"), DEFAULT_DEADLINE_MS)?;
         longest = longest.max(deadline);
     }
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -79,7 +79,7 @@
         idempotency: Idempotency::Idempotent,
         operation: Operation::Read(Consistency::Eventual),
         latency_objective: TimeDelta::from_millis(500),
-        objective_stretch: 0.0,
+        objective_work_multiple: 0.0,
         priority_weight: 1.0,
         late_weight: 0.0,
     };
--- a/crates/routing/src/router/cluster_view.rs
+++ b/crates/routing/src/router/cluster_view.rs
@@ -65,17 +65,17 @@
     /// The number of this router's attempts that an endpoint works on, including abandoned attempts that may
     /// still run.
     pub(super) fn work_of(&self, endpoint: &Endpoint) -> f64 {
-        endpoint.work.total(self.now, self.latency)
+        endpoint.work.outstanding_count(self.now, self.latency)
     }
 
     /// The number of attempts in flight at an endpoint that are not considered lost.
     fn live_attempts_of(&self, endpoint: &Endpoint) -> f64 {
-        endpoint.work.live(self.now, self.latency)
+        endpoint.work.live_count(self.now, self.latency)
     }
 
     /// The load of an endpoint: its weighted work, multiplied by factors for slowness and failures.
     pub(super) fn load_of(&self, endpoint: &Endpoint) -> f64 {
-        let work = endpoint.work.weighted(self.now, self.latency);
+        let work = endpoint.work.weighted_load(self.now, self.latency);
         work * endpoint.slowness.factor(self.now) * endpoint.failures.load_factor()
     }
 
@@ -90,7 +90,7 @@
     /// Whether the concurrency limit of an endpoint and, during warm-up, its slow-start tokens permit one
     /// more attempt.
     pub(super) fn has_room(&self, endpoint: &Endpoint) -> bool {
-        let is_warming = endpoint.warm_up.fraction(self.now, self.settings) < 1.0;
+        let is_warming = endpoint.warm_up.capacity_fraction(self.now, self.settings) < 1.0;
         let lacks_token = is_warming && self.slow_start_tokens(endpoint) < 1.0;
         endpoint.concurrency.has_room(self.now, self.work_of(endpoint)) && !lacks_token
     }
@@ -100,7 +100,7 @@
         let is_overloaded = self.overload.fleet_ratio(self.now, Role::Replica) > SEVERE_OVERLOAD;
         let in_service = self.endpoints.active_count();
         let capacity = self.throughput.capacity_per_endpoint(self.now, in_service, is_overloaded);
-        endpoint.warm_up.tokens(self.now, capacity, self.settings)
+        endpoint.warm_up.available_tokens(self.now, capacity, self.settings)
     }
 
     /// The believed primary of a group, if the latest evidence confirms its role, it accepts new work and it
--- a/crates/routing/src/router/concurrency.rs
+++ b/crates/routing/src/router/concurrency.rs
@@ -54,8 +54,8 @@
     }
 
     /// Whether so many attempts are within a fraction of the limit.
-    pub(super) fn is_within_share(&self, work: f64, share: f64) -> bool {
-        work <= self.limit * share
+    pub(super) fn is_within_fraction(&self, work: f64, fraction: f64) -> bool {
+        work <= self.limit * fraction
     }
 
     /// Lowers the limit to [`MIN_LIMIT`], from which it grows again.
--- a/crates/routing/src/router/endpoint.rs
+++ b/crates/routing/src/router/endpoint.rs
@@ -1,5 +1,4 @@
-//! The state of one endpoint: its entry in the endpoint list, and the state that other modules keep for each
-//! endpoint.
+//! The state of one endpoint: its entry in the endpoint list, and the components that are kept per endpoint.
 
 use super::concurrency::ConcurrencyLimit;
 use super::fleet_clock::FleetClock;
--- a/crates/routing/src/router/endpoint_outcomes.rs
+++ b/crates/routing/src/router/endpoint_outcomes.rs
@@ -69,7 +69,7 @@
     /// Updates the state of the endpoint after an attempt, or after a health check that could not connect.
     pub(super) fn record_outcome(&mut self, now: Timestamp, completed: &CompletedAttempt) {
         let Some(context) = self.view(now).outcome_context(completed) else { return };
-        self.queue_schedule.retry(context.group);
+        self.queue_schedule.schedule_now(context.group);
         // A timeout or a closed connection after a stall of this router itself is no failure of the endpoint.
         let is_lost = matches!(completed.outcome, AttemptOutcome::Timeout | AttemptOutcome::ConnectionReset);
         if self.timers.has_stalled(now) && is_lost {
--- a/crates/routing/src/router/endpoint_reports.rs
+++ b/crates/routing/src/router/endpoint_reports.rs
@@ -75,7 +75,7 @@
             return;
         }
         endpoint.freshness.observe_report(now, position);
-        self.queue_schedule.retry(endpoint.group());
+        self.queue_schedule.schedule_now(endpoint.group());
         match report.role {
             Some(Role::Primary) => {
                 let was_confirmed = self.clock.is_confirmed();
@@ -116,7 +116,7 @@
             }
             group.primary.believe(id.clone());
         }
-        self.queue_schedule.retry(group_id);
+        self.queue_schedule.schedule_now(group_id);
         if self.view(now).confirmed_primary(group_id).is_some()
             && let Some(group) = self.endpoints.group_mut(group_id)
         {
--- a/crates/routing/src/router/endpoint_selection.rs
+++ b/crates/routing/src/router/endpoint_selection.rs
@@ -44,7 +44,7 @@
         if !is_bounded || !sends_health_checks || self.clock.is_confirmed() {
             return true;
         }
-        !view.has_listed_primary(request.group()) || self.clock.has_awaited_confirmation(now)
+        !view.has_listed_primary(request.group()) || self.clock.has_confirmation_wait_expired(now)
     }
 
     /// Selects the believed primary if it has room. While no primary is confirmed, and the primary is unknown
--- a/crates/routing/src/router/endpoint_updates.rs
+++ b/crates/routing/src/router/endpoint_updates.rs
@@ -26,7 +26,7 @@
         let is_first = !std::mem::replace(&mut self.has_endpoint_list, true);
         let initial_limit = ConcurrencyLimit::initial(self.settings.router_count);
         for entry in entries {
-            self.queue_schedule.retry(entry.group);
+            self.queue_schedule.schedule_now(entry.group);
             let initial_tokens = self.random.unit_interval();
             let endpoint = self.endpoints.upsert(entry, initial_limit);
             if let Some(fleet_time) = entry.started_at {
--- a/crates/routing/src/router/fleet_clock.rs
+++ b/crates/routing/src/router/fleet_clock.rs
@@ -58,7 +58,7 @@
 
     /// Starts the wait for a confirmation if it has not begun, and returns whether it has lasted for
     /// [`MAX_CONFIRMATION_WAIT`].
-    pub(super) fn has_awaited_confirmation(&mut self, now: Timestamp) -> bool {
+    pub(super) fn has_confirmation_wait_expired(&mut self, now: Timestamp) -> bool {
         now - *self.confirmation_awaited_since.get_or_insert(now) >= MAX_CONFIRMATION_WAIT
     }
 
--- a/crates/routing/src/router/fleet_clock/tests.rs
+++ b/crates/routing/src/router/fleet_clock/tests.rs
@@ -45,7 +45,7 @@
 #[test]
 fn the_wait_for_a_confirmation_is_bounded() {
     let mut clock = FleetClock::default();
-    assert!(!clock.has_awaited_confirmation(NOW));
-    assert!(!clock.has_awaited_confirmation(NOW + TimeDelta::from_millis(99)));
-    assert!(clock.has_awaited_confirmation(NOW + TimeDelta::from_millis(100)));
+    assert!(!clock.has_confirmation_wait_expired(NOW));
+    assert!(!clock.has_confirmation_wait_expired(NOW + TimeDelta::from_millis(99)));
+    assert!(clock.has_confirmation_wait_expired(NOW + TimeDelta::from_millis(100)));
 }
--- a/crates/routing/src/router/in_flight.rs
+++ b/crates/routing/src/router/in_flight.rs
@@ -128,7 +128,7 @@
     }
 
     /// The number of attempts in flight that are not lost.
-    pub(super) fn live(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
+    pub(super) fn live_count(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
         self.in_flight.values().filter(|attempt| !self.is_lost(attempt, now, latency)).count() as f64
     }
 
@@ -138,12 +138,12 @@
 
     /// The number of attempts that the endpoint works on: those in flight that are not lost, and those
     /// abandoned.
-    pub(super) fn total(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
-        self.live(now, latency) + self.abandoned(now)
+    pub(super) fn outstanding_count(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
+        self.live_count(now, latency) + self.abandoned(now)
     }
 
     /// The outstanding work plus 1, in which an attempt in flight has a higher weight the older it is.
-    pub(super) fn weighted(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
+    pub(super) fn weighted_load(&self, now: Timestamp, latency: &LatencyEstimates) -> f64 {
         let weight = |attempt: &InFlightAttempt| {
             latency.of(attempt.class).relative(now - attempt.sent_at).clamp(1.0, MAX_ATTEMPT_LOAD)
         };
--- a/crates/routing/src/router/in_flight/tests.rs
+++ b/crates/routing/src/router/in_flight/tests.rs
@@ -28,13 +28,21 @@
 fn a_lost_attempt_does_not_count_as_work() {
     let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
-    assert_eq!(work.total(NOW, &latency), 1.0);
-    assert_eq!(work.total(NOW + LONG_OVERDUE, &latency), 0.0, "no response came since it was sent");
+    assert_eq!(work.outstanding_count(NOW, &latency), 1.0);
+    assert_eq!(
+        work.outstanding_count(NOW + LONG_OVERDUE, &latency),
+        0.0,
+        "no response came since it was sent"
+    );
     work.record_response(NOW + TimeDelta::from_millis(1));
-    assert_eq!(work.total(NOW + LONG_OVERDUE, &latency), 1.0, "it may still be queued at the endpoint");
+    assert_eq!(
+        work.outstanding_count(NOW + LONG_OVERDUE, &latency),
+        1.0,
+        "it may still be queued at the endpoint"
+    );
     work.record_success(NOW + TimeDelta::from_millis(2));
     assert!(work.was_overtaken(&attempt(NOW), NOW + LONG_OVERDUE, &latency));
-    assert_eq!(work.total(NOW + LONG_OVERDUE, &latency), 0.0, "a later attempt succeeded");
+    assert_eq!(work.outstanding_count(NOW + LONG_OVERDUE, &latency), 0.0, "a later attempt succeeded");
 }
 
 #[test]
@@ -43,14 +51,14 @@
     work.start(id(1), attempt(NOW));
     assert!(work.finish(id(1)).is_some() && work.is_idle());
     work.record_abandoned(NOW, TimeDelta::from_millis(100));
-    assert_eq!(work.total(NOW + TimeDelta::from_millis(99), &latency), 1.0);
-    assert_eq!(work.total(NOW + TimeDelta::from_millis(100), &latency), 0.0);
+    assert_eq!(work.outstanding_count(NOW + TimeDelta::from_millis(99), &latency), 1.0);
+    assert_eq!(work.outstanding_count(NOW + TimeDelta::from_millis(100), &latency), 0.0);
 }
 
 #[test]
 fn the_weight_of_an_attempt_grows_with_its_age_up_to_a_bound() {
     let (latency, mut work) = (latency_of_one_class(), EndpointWork::default());
     work.start(id(1), attempt(NOW));
-    let weight = |ms| work.weighted(NOW + TimeDelta::from_millis(ms), &latency);
+    let weight = |ms| work.weighted_load(NOW + TimeDelta::from_millis(ms), &latency);
     assert_eq!([weight(0), weight(100), weight(250), weight(5_000)], [2.0, 2.0, 3.5, 5.0]);
 }
--- a/crates/routing/src/router/load_balancing.rs
+++ b/crates/routing/src/router/load_balancing.rs
@@ -169,7 +169,7 @@
         // many routers whose share is less than one attempt each, no read would ever reach the primary.
         let is_within = |primary: &&Endpoint| {
             let work = self.view.work_of(primary) + self.randomness.chance;
-            primary.concurrency.is_within_share(work, share)
+            primary.concurrency.is_within_fraction(work, share)
         };
         self.primary_with_room().filter(is_within)
     }
--- a/crates/routing/src/router/queue.rs
+++ b/crates/routing/src/router/queue.rs
@@ -54,7 +54,7 @@
 
 impl QueueSchedule {
     /// Schedules a group's queue for the current event, which brought news of the group.
-    pub(super) fn retry(&mut self, group: GroupId) {
+    pub(super) fn schedule_now(&mut self, group: GroupId) {
         self.due_groups.insert(group);
     }
 
--- a/crates/routing/src/router/requests.rs
+++ b/crates/routing/src/router/requests.rs
@@ -57,7 +57,7 @@
         session_token: Option<Timestamp>,
     ) -> Self {
         let extension =
-            request.expected_work.map_or(TimeDelta::ZERO, |work| work.mul_f64(class.objective_stretch));
+            request.expected_work.map_or(TimeDelta::ZERO, |work| work.mul_f64(class.objective_work_multiple));
         let deadline = now + request.time_remaining;
         Self {
             id: request.id,
--- a/crates/routing/src/router/requests/tests.rs
+++ b/crates/routing/src/router/requests/tests.rs
@@ -22,7 +22,7 @@
         idempotency: Idempotency::Idempotent,
         operation: Operation::Read(Consistency::Eventual),
         latency_objective: ms(400),
-        objective_stretch: 2.0,
+        objective_work_multiple: 2.0,
         priority_weight: 1.0,
         late_weight: 0.0,
     };
--- a/crates/routing/src/router/slow_start.rs
+++ b/crates/routing/src/router/slow_start.rs
@@ -103,7 +103,7 @@
 impl WarmUp {
     /// The fraction of its capacity that the endpoint has at `now`, which grows linearly over the slow-start
     /// window from the floor in the settings to 1.
-    pub(super) fn fraction(&self, now: Timestamp, settings: &Settings) -> f64 {
+    pub(super) fn capacity_fraction(&self, now: Timestamp, settings: &Settings) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let window = settings.slow_start_window.0.max(1) as f64;
         let floor = settings.slow_start_floor;
@@ -112,10 +112,10 @@
     }
 
     /// The slow-start tokens that this router has for the endpoint, where a warm endpoint has this capacity.
-    pub(super) fn tokens(&self, now: Timestamp, capacity: RequestRate, settings: &Settings) -> f64 {
+    pub(super) fn available_tokens(&self, now: Timestamp, capacity: RequestRate, settings: &Settings) -> f64 {
         // An endpoint fails if it is overloaded over a whole window, so its capacity at the start of the
         // window counts.
-        let fraction = self.fraction(now - settings.overload_window, settings);
+        let fraction = self.capacity_fraction(now - settings.overload_window, settings);
         let rate = RequestRate::of_warming_endpoint(capacity, fraction, settings);
         let earned = rate.over(now - self.balance.updated_at);
         (self.balance.tokens + earned).min(1.0 + rate.over(TOKEN_BURST))
--- a/crates/routing/src/router/slow_start/tests.rs
+++ b/crates/routing/src/router/slow_start/tests.rs
@@ -30,9 +30,9 @@
 #[test]
 fn an_endpoint_warms_up_within_the_window() {
     let (settings, mut warm_up) = (settings(), WarmUp::default());
-    assert_eq!(warm_up.fraction(NOW, &settings), 1.0, "an endpoint that started long ago is warm");
+    assert_eq!(warm_up.capacity_fraction(NOW, &settings), 1.0, "an endpoint that started long ago is warm");
     warm_up.restart(NOW, NOW, 0.0);
-    let fraction = |ms| warm_up.fraction(NOW + TimeDelta::from_millis(ms), &settings);
+    let fraction = |ms| warm_up.capacity_fraction(NOW + TimeDelta::from_millis(ms), &settings);
     assert_eq!([fraction(0), fraction(5_000), fraction(20_000)], [0.25, 0.625, 1.0]);
 }
 
@@ -41,9 +41,9 @@
     let (settings, mut warm_up) = (settings(), WarmUp::default());
     warm_up.restart(NOW, NOW, 0.0);
     let capacity = throughput().capacity_per_endpoint(NOW, 2, true);
-    let tokens = warm_up.tokens(NOW + TimeDelta::from_millis(40), capacity, &settings);
+    let tokens = warm_up.available_tokens(NOW + TimeDelta::from_millis(40), capacity, &settings);
     assert!((tokens - 1.0).abs() < 0.05, "0.25 of 100 tokens a second for 40 ms: {tokens}");
-    let saved = warm_up.tokens(NOW + TimeDelta::from_millis(900), capacity, &settings);
+    let saved = warm_up.available_tokens(NOW + TimeDelta::from_millis(900), capacity, &settings);
     assert!((saved - 3.5).abs() < 0.1, "one token, and those that accrue in 100 ms: {saved}");
 }
 
@@ -52,7 +52,7 @@
     let (settings, mut warm_up) = (settings(), WarmUp::default());
     warm_up.spend_token(NOW, 0.3);
     let capacity = Throughput::default().capacity_per_endpoint(NOW, 2, true);
-    assert_eq!(warm_up.tokens(NOW, capacity, &settings), 0.0);
+    assert_eq!(warm_up.available_tokens(NOW, capacity, &settings), 0.0);
 }
 
 #[test]
@@ -69,8 +69,8 @@
     let (settings, mut clock, mut warm_up) = (settings(), FleetClock::default(), WarmUp::default());
     let start = listed_start(NOW - TimeDelta::from_millis(5_000), true);
     assert!(warm_up.observe_listed_start(NOW, start, &clock));
-    assert_eq!(warm_up.fraction(NOW, &settings), 0.25);
+    assert_eq!(warm_up.capacity_fraction(NOW, &settings), 0.25);
     clock.observe_primary_position(NOW, NOW, TimeDelta::ZERO);
     assert!(!warm_up.recompute_listed_start(NOW, &clock), "it is the same start with another time");
-    assert_eq!(warm_up.fraction(NOW, &settings), 0.625);
+    assert_eq!(warm_up.capacity_fraction(NOW, &settings), 0.625);
 }
--- a/crates/routing/src/router/test_support.rs
+++ b/crates/routing/src/router/test_support.rs
@@ -11,7 +11,7 @@
         idempotency: Idempotency::Idempotent,
         operation: Operation::Read(Consistency::Eventual),
         latency_objective: TimeDelta::from_millis(400),
-        objective_stretch: 0.0,
+        objective_work_multiple: 0.0,
         priority_weight: 1.0,
         late_weight: 0.0,
     }])
--- a/crates/routing/src/settings/decode.rs
+++ b/crates/routing/src/settings/decode.rs
@@ -77,30 +77,30 @@
         Ok(Settings {
             classes: self.classes()?,
             tenants: self.tenants()?,
-            router_count: self.amount("FleetSize")?.max(1.0) as u32,
+            router_count: self.non_negative_number("FleetSize")?.max(1.0) as u32,
             zone: self.text("Zone")?.to_owned(),
             discovery: self.discovery()?,
             stale_read_policy: self.stale_read_policy()?,
             session_token_source: self.session_token_source()?,
             position_epoch: Timestamp(duration_from_millis(self.number("FamilyInfo.Zero")?).0),
             load_report_fields: self.load_report_fields(),
-            max_attempts: self.amount("Limits.SendCap")? as u32,
+            max_attempts: self.non_negative_number("Limits.SendCap")? as u32,
             hedging_allowed: self.boolean("Limits.MayDuplicate")?,
             health_checks_allowed: self.boolean("Limits.Probing")?,
-            health_check_cost: self.amount_or("Costs.Probe", 0.0)?.max(0.0),
+            health_check_cost: self.non_negative_number_or("Costs.Probe", 0.0)?.max(0.0),
             cancellation_allowed: self.boolean("Limits.Cancel")?,
             retry_after_allowed: self.boolean("Limits.RetryAfter")?,
-            max_retry_after: duration_from_millis(self.amount_or("Limits.MaxRetryAfter", 0.0)?),
+            max_retry_after: duration_from_millis(self.non_negative_number_or("Limits.MaxRetryAfter", 0.0)?),
             drain_grace: self.duration("Rules.DrainGrace")?,
             soft_removal: self.boolean("Rules.SoftRemoval").unwrap_or(false),
-            slow_start_floor: self.amount("Rules.ColdFrom")?,
+            slow_start_floor: self.non_negative_number("Rules.ColdFrom")?,
             slow_start_window: self.duration("Rules.Cold")?,
-            overload_multiple: self.amount("Rules.FallMultiple")?,
+            overload_multiple: self.non_negative_number("Rules.FallMultiple")?,
             overload_window: self.duration("Rules.Fall")?,
-            over_quota_weight: self.amount_or("OverShareWorth", 1.0)?,
+            over_quota_weight: self.non_negative_number_or("OverShareWorth", 1.0)?,
             objective_weights: ObjectiveWeights {
-                overall: self.amount_or("ObjectiveMix.Whole", 0.0)?,
-                worst_class: self.amount_or("ObjectiveMix.WorstClass", 0.0)?,
+                overall: self.non_negative_number_or("ObjectiveMix.Whole", 0.0)?,
+                worst_class: self.non_negative_number_or("ObjectiveMix.WorstClass", 0.0)?,
             },
         })
     }
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// If the setting is missing, or its value is not a number in this range.
-    pub fn amount(&self, key: &str) -> Result<f64> {
+    pub fn non_negative_number(&self, key: &str) -> Result<f64> {
         let value = self.number(key)?;
         if (0.0..=MAX_AMOUNT).contains(&value) {
             return Ok(value);
@@ -140,17 +140,18 @@
         Err(SettingsError::OutOfRange { key: key.to_owned(), value: value.to_string() })
     }
 
-    /// Returns the same as [`amount`](Self::amount), or `default` if the setting is missing.
+    /// Returns the same as [`non_negative_number`](Self::non_negative_number), or `default` if the setting
+    /// is missing.
     ///
     /// # Errors
     ///
     /// If the setting is present, and its value is not a number between 0 and 10^15.
-    pub fn amount_or(&self, key: &str, default: f64) -> Result<f64> {
-        if self.0.contains_key(key) { self.amount(key) } else { Ok(default) }
+    pub fn non_negative_number_or(&self, key: &str, default: f64) -> Result<f64> {
+        if self.0.contains_key(key) { self.non_negative_number(key) } else { Ok(default) }
     }
 
     fn duration(&self, key: &str) -> Result<TimeDelta> {
-        self.amount(key).map(duration_from_millis)
+        self.non_negative_number(key).map(duration_from_millis)
     }
 
     fn boolean(&self, key: &str) -> Result<bool> {
@@ -165,7 +166,7 @@
         let operations: Vec<&str> = self.text("FamilyInfo.NeedsByClass")?.split(',').collect();
         let bounds: Vec<&str> = self.text("FamilyInfo.OldestData")?.split(',').collect();
         let mut classes: Vec<RequestClass> = Vec::new();
-        for index in 0..self.amount("Lanes.count")? as usize {
+        for index in 0..self.non_negative_number("Lanes.count")? as usize {
             let word =
                 *operations.get(index).ok_or(SettingsError::ListTooShort("FamilyInfo.NeedsByClass"))?;
             let operation = operation(word, bounds.get(index).copied())?;
@@ -185,9 +186,9 @@
             name: self.text(&key("Name"))?.to_owned(),
             operation,
             latency_objective: self.duration(&key("Objective"))?,
-            objective_stretch: self.amount_or(&key("AimStretch"), 0.0)?,
-            priority_weight: self.amount(&key("Worth"))?,
-            late_weight: self.amount(&key("LateValue"))?,
+            objective_work_multiple: self.non_negative_number_or(&key("AimStretch"), 0.0)?,
+            priority_weight: self.non_negative_number(&key("Worth"))?,
+            late_weight: self.non_negative_number(&key("LateValue"))?,
         })
     }
 
@@ -201,11 +202,11 @@
     }
 
     fn tenants(&self) -> Result<Vec<Tenant>> {
-        let count = self.amount_or("Tenants.count", 0.0)? as usize;
+        let count = self.non_negative_number_or("Tenants.count", 0.0)? as usize;
         let tenant = |index| {
             Ok(Tenant {
                 name: self.text(&format!("Tenants.{index}.Name"))?.to_owned(),
-                quota: self.amount(&format!("Tenants.{index}.QuotaRps"))?,
+                quota: self.non_negative_number(&format!("Tenants.{index}.QuotaRps"))?,
             })
         };
         (0..count).map(tenant).collect()
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -53,7 +53,7 @@
     /// The time within which a response has the full weight of its request.
     pub latency_objective: TimeDelta,
     /// The multiple of a request's expected work that is added to its latency objective.
-    pub objective_stretch: f64,
+    pub objective_work_multiple: f64,
     /// The weight of one request.
     pub priority_weight: f64,
     /// The fraction of the weight that a response after the latency objective still has.
@@ -156,8 +156,8 @@
     pub hedging_allowed: bool,
     /// Whether [`Action::HealthCheck`](crate::Action::HealthCheck) is allowed.
     pub health_checks_allowed: bool,
-    /// The cost of one health check per request, in points deducted from the result; 0 if health checks are
-    /// free.
+    /// The cost of one health check per request, in points deducted from the service result; 0 if health
+    /// checks are free. The service result is the figure by which the operators judge the service.
     pub health_check_cost: f64,
     /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancellation_allowed: bool,
--- a/crates/routing/tests/router/endpoints.rs
+++ b/crates/routing/tests/router/endpoints.rs
@@ -81,7 +81,7 @@
 fn an_endpoint_that_changes_its_group_receives_no_requests_of_its_previous_group() {
     let mut host = TestHost::new(settings(), 2);
     let (id, actions) = host.request(EVENTUAL_READ);
-    let number = first_or_second(&actions);
+    let number = sent_to_first_or_second(&actions);
     let moved = EndpointEntry { group: GroupId(7), ..endpoint_entry(number) };
     host.update_endpoints(vec![moved]);
     assert!(
--- a/crates/routing/tests/router/fleet_clock.rs
+++ b/crates/routing/tests/router/fleet_clock.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_clock_that_is_behind_does_not_make_stale_data_eligible() {
     for behind in [2_000, 5_000, HOUR_MS] {
-        let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+        let mut host = TestHost::new(settings_serving_stale_reads(), 3);
         host.complete_health_check(1, Role::Primary, -behind);
         // Endpoint 2 lags by the error of the clock, endpoint 3 by 10 ms.
         host.complete_health_check(2, Role::Replica, 0);
@@ -29,7 +29,7 @@
 #[test]
 fn a_commit_corrects_a_clock_that_is_ahead() {
     for ahead in [5_000, HOUR_MS] {
-        let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+        let mut host = TestHost::new(settings_serving_stale_reads(), 3);
         let (id, actions) = host.request(PLAIN_WRITE);
         assert_eq!(sent_to(&actions), [endpoint_id(1)]);
         host.advance_clock(5);
@@ -48,7 +48,7 @@
     // Other reports agree on the present. A single commit dated long ago must not make stale data count as
     // fresh.
     for behind in [30_000, HOUR_MS, 24 * HOUR_MS] {
-        let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+        let mut host = TestHost::new(settings_serving_stale_reads(), 3);
         host.complete_health_check(1, Role::Primary, 0);
         host.complete_health_check(2, Role::Replica, 5_000);
         let (id, _) = host.request(PLAIN_WRITE);
@@ -64,7 +64,7 @@
 #[test]
 fn the_data_of_a_former_primary_is_dated_by_the_fleet_clock() {
     // The router's clock is an hour ahead: the data that a primary had at some time must not be dated by it.
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 3);
     for _ in 0..20 {
         let (id, actions) = host.request(STRONG_READ);
         if let Some(to) = sent_to(&actions).first().cloned() {
@@ -93,7 +93,7 @@
     for _ in 0..40 {
         host.advance_clock(95);
         let (id, actions) = host.request_with_deadline(EVENTUAL_READ, 400);
-        let number = first_or_second(&actions);
+        let number = sent_to_first_or_second(&actions);
         host.advance_clock(5);
         host.complete_attempt(id, 0, number, AttemptOutcome::Ok);
     }
@@ -132,7 +132,7 @@
 fn a_new_router_waits_for_the_primary_before_it_trusts_its_clock() {
     // The router's clock is 5 s behind. Of the endpoints that it health-checks at its first read, a replica
     // whose data is 5 s old responds first.
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 0);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 0);
     let entries =
         (1..=3).map(|number| EndpointEntry { primary: number == 1, ..endpoint_entry(number) }).collect();
     host.replace_endpoints(entries);
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_silent_primary_delays_reads_only_briefly() {
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 0);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 0);
     let entries =
         (1..=3).map(|number| EndpointEntry { primary: number == 1, ..endpoint_entry(number) }).collect();
     host.replace_endpoints(entries);
--- a/crates/routing/tests/router/freshness.rs
+++ b/crates/routing/tests/router/freshness.rs
@@ -7,7 +7,7 @@
     // Guards against a stale read after a primary hangs with writes in flight: a health check still shows it
     // as the primary, then the late responses to the writes show a replica, whose data is too old for the
     // read.
-    let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
+    let mut host = TestHost::with_primary(settings_serving_stale_reads());
     let (write, _) = host.request(PLAIN_WRITE);
     let sent = host.now;
     host.advance_clock(300);
@@ -27,7 +27,7 @@
 fn the_reads_of_a_session_include_its_abandoned_write() {
     // Guards against a stale read by a client that leaves a few milliseconds after its commit and returns.
     for outcome in [AttemptOutcome::Cancelled, AttemptOutcome::Timeout, AttemptOutcome::ConnectionReset] {
-        let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
+        let mut host = TestHost::with_primary(settings_serving_stale_reads());
         host.complete_health_check(2, Role::Replica, 10);
         host.complete_health_check(3, Role::Replica, 10);
         let (write, _) = host.request_in_session(PLAIN_WRITE, 7);
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_read_stays_eligible_only_while_the_data_is_fresh_enough() {
-    let mut host = TestHost::with_primary(settings_where_stale_reads_are_served());
+    let mut host = TestHost::with_primary(settings_serving_stale_reads());
     host.complete_health_check(2, Role::Replica, 600);
     let (read, actions) = host.request(BOUNDED_READ);
     assert_eq!(sent_to(&actions), [endpoint_id(2)]);
@@ -79,7 +79,7 @@
 
 #[test]
 fn bounded_reads_need_a_known_position_where_endpoints_serve_stale_reads() {
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 3);
     let (_, actions) = host.request(BOUNDED_READ);
     assert!(sent_to(&actions).is_empty(), "nothing is known of any endpoint");
     assert_eq!(health_checked(&actions).len(), 3);
@@ -96,7 +96,7 @@
 
 #[test]
 fn bounded_reads_go_to_a_known_primary_while_replicas_are_unknown() {
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 3);
     host.complete_health_check(1, Role::Primary, 0);
     assert_eq!(sent_to(&host.request(BOUNDED_READ).1), [endpoint_id(1)]);
 }
@@ -111,7 +111,7 @@
 fn an_endpoint_that_rejected_a_read_as_stale_is_skipped_for_a_while() {
     let mut host = TestHost::new(settings(), 2);
     let (id, actions) = host.request(BOUNDED_READ);
-    let behind = first_or_second(&actions);
+    let behind = sent_to_first_or_second(&actions);
     let other = endpoint_id(3 - behind);
     assert_eq!(
         sent_to(&host.complete_attempt_as(id, 0, behind, AttemptOutcome::NotEligible, Role::Replica)),
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_session_read_goes_to_an_endpoint_known_to_have_applied_the_write_of_its_session() {
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 3);
     host.complete_health_check(1, Role::Primary, 0);
     host.complete_health_check(2, Role::Replica, 50);
     let (id, actions) = host.request_in_session(KEYED_WRITE, 9);
--- a/crates/routing/tests/router/health_checks.rs
+++ b/crates/routing/tests/router/health_checks.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_session_read_has_every_replica_checked_again_long_before_the_staleness_bound_has_passed() {
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 4);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 4);
     host.complete_health_check(1, Role::Primary, 0);
     (2..=4).for_each(|number| drop(host.complete_health_check(number, Role::Replica, 10)));
     host.request(BOUNDED_READ);
@@ -35,8 +35,7 @@
 #[test]
 fn costly_health_checks_go_to_one_replica_and_only_while_none_is_eligible() {
     let checks_at_cost = |health_check_cost| {
-        let mut host =
-            TestHost::new(Settings { health_check_cost, ..settings_where_stale_reads_are_served() }, 4);
+        let mut host = TestHost::new(Settings { health_check_cost, ..settings_serving_stale_reads() }, 4);
         host.complete_health_check(1, Role::Primary, 0);
         (2..=4).for_each(|number| drop(host.complete_health_check(number, Role::Replica, 10)));
         // Each time, the positions of all three replicas are older than the bound; checking them uses up the
@@ -63,7 +62,7 @@
 
 #[test]
 fn a_replica_that_lags_within_the_bound_is_checked_again_once_its_position_is_too_old() {
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 3);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 3);
     host.complete_health_check(1, Role::Primary, 0);
     host.complete_health_check(2, Role::Replica, 600);
     host.complete_health_check(3, Role::Replica, 5_000);
--- a/crates/routing/tests/router/overload.rs
+++ b/crates/routing/tests/router/overload.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn reads_do_not_add_to_an_overloaded_primary() {
-    let settings = settings_where_stale_reads_are_served();
+    let settings = settings_serving_stale_reads();
     let sent = |latency_ms: i64| {
         let sent_reads = |seed| {
             let mut host = TestHost::with_seed(seed, settings.clone(), 3);
--- a/crates/routing/tests/router/primary.rs
+++ b/crates/routing/tests/router/primary.rs
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_new_router_health_checks_the_listed_primary_before_all_others() {
-    let mut host = TestHost::new(settings_where_stale_reads_are_served(), 5);
+    let mut host = TestHost::new(settings_serving_stale_reads(), 5);
     host.list_as_primary(3);
     let (_, actions) = host.request(STRONG_READ);
     assert_eq!(health_checked(&actions), [endpoint_id(3)]);
--- a/crates/routing/tests/router/retries.rs
+++ b/crates/routing/tests/router/retries.rs
@@ -26,7 +26,7 @@
 fn reads_are_retried_at_another_endpoint_and_finally_rejected_with_a_retry_after() {
     let mut host = TestHost::new(settings(), 2);
     let (id, actions) = host.request(EVENTUAL_READ);
-    let first = first_or_second(&actions);
+    let first = sent_to_first_or_second(&actions);
     assert_eq!(
         sent_to(&host.complete_attempt(id, 0, first, AttemptOutcome::Error)),
         [endpoint_id(3 - first)]
@@ -41,7 +41,7 @@
 fn a_rejection_has_no_retry_after_where_it_is_not_allowed() {
     let mut host = TestHost::new(Settings { retry_after_allowed: false, max_attempts: 1, ..settings() }, 2);
     let (id, actions) = host.request(EVENTUAL_READ);
-    let at = first_or_second(&actions);
+    let at = sent_to_first_or_second(&actions);
     let actions = host.complete_attempt(id, 0, at, AttemptOutcome::Error);
     assert_eq!(rejection(&actions, id), Some(Rejection { retry_after: None }));
 }
--- a/crates/routing/tests/router/slow_start.rs
+++ b/crates/routing/tests/router/slow_start.rs
@@ -15,7 +15,7 @@
         for _ in 0..2 {
             let (id, actions) = host.request(EVENTUAL_READ);
             host.advance_clock(20);
-            let number = first_or_second(&actions);
+            let number = sent_to_first_or_second(&actions);
             host.complete_attempt(id, 0, number, AttemptOutcome::Ok);
         }
         host.set_started_at(2, host.now);
--- a/crates/routing/tests/router/support.rs
+++ b/crates/routing/tests/router/support.rs
@@ -32,7 +32,7 @@
         idempotency,
         operation,
         latency_objective: TimeDelta::from_millis(400),
-        objective_stretch: 0.0,
+        objective_work_multiple: 0.0,
         priority_weight: 1.0,
         late_weight: if operation == Operation::Write { 0.5 } else { 0.0 },
     }
@@ -70,7 +70,7 @@
 
 /// The same settings, except that endpoints also serve stale reads, so that the router must select endpoints
 /// whose data is current enough.
-pub fn settings_where_stale_reads_are_served() -> Settings {
+pub fn settings_serving_stale_reads() -> Settings {
     Settings { stale_read_policy: StaleReadPolicy::Serve, ..settings() }
 }
 
@@ -293,7 +293,7 @@
 
 /// The number of the endpoint to which the actions send a single attempt, out of two endpoints; 2 also if
 /// nothing is sent.
-pub fn first_or_second(actions: &[Action]) -> usize {
+pub fn sent_to_first_or_second(actions: &[Action]) -> usize {
     if sent_to(actions) == [endpoint_id(1)] { 1 } else { 2 }
 }
 
--- a/crates/testbed/src/model/system.rs
+++ b/crates/testbed/src/model/system.rs
@@ -194,7 +194,7 @@
             idempotency: Idempotency::NonIdempotent,
             operation: Operation::Write,
             latency_objective: TimeDelta::from_millis(300),
-            objective_stretch: 0.0,
+            objective_work_multiple: 0.0,
             priority_weight: 1.0,
             late_weight: 0.5,
         }],
