--- a/crates/pooler/tests/soak/run.rs
+++ b/crates/pooler/tests/soak/run.rs
@@ -6,7 +6,7 @@
 use crate::load_client::LoadClient;
 use crate::random::SharedRandom;
 use crate::support::*;
-use pooler_proxy::lifecycle::shutdown::Schedule;
+use pooler_proxy::lifecycle::shutdown::ShutdownSchedule;
 use std::process::ExitStatus;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -210,7 +210,7 @@
     for signal in [Signal::Terminate, Signal::Reload, Signal::Terminate, Signal::Interrupt] {
         pooler.signal(signal);
     }
-    let kill_at = signalled + Schedule::earliest_kill(Duration::from_millis(deadline_ms));
+    let kill_at = signalled + ShutdownSchedule::earliest_kill(Duration::from_millis(deadline_ms));
     let mut status = None;
     while status.is_none() && Instant::now() < kill_at {
         std::thread::sleep(Duration::from_millis(5));
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -61,7 +61,7 @@
         let watcher = components.watcher(config);
         // The configured endpoint list is applied before discovery reports: the pooler serves from it while
         // discovery is down.
-        watcher.apply(&config.known);
+        watcher.apply(&config.known_endpoints);
         let listener = retry_transient(|| accept::listen(config.listen))
             .map_err(|error| StartError::Listen(config.listen, error))?;
         let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
@@ -94,7 +94,7 @@
         let router = Router::new(config.seed, config.settings.clone());
         let router = Rc::new(RouterHandle::new(router, counters.clone(), health_checks));
         let directory = Rc::new(EndpointDirectory::default());
-        let budget = SocketBudget::new(config.sockets);
+        let budget = SocketBudget::new(config.max_descriptors);
         let pool = Pool::new(router.clone(), directory.clone(), config.proxy.clone(), budget.servers);
         let slot_limits = SlotLimits {
             clients: budget.clients,
@@ -115,7 +115,7 @@
             pool: Rc::new(pool),
             slots: Rc::new(slots),
             in_doubt_writes,
-            discovery: Rc::new(DiscoveryAddress::new(config.discovery)),
+            discovery: Rc::new(DiscoveryAddress::new(config.discovery_address)),
         };
         (components, requested_health_checks)
     }
--- a/crates/proxy/src/client/requests.rs
+++ b/crates/proxy/src/client/requests.rs
@@ -135,9 +135,9 @@
 /// The last endpoint that may have run a request to which no response arrived.
 fn may_have_run_at(response: &FinalResponse<QueryResponse>) -> Option<&EndpointId> {
     match response {
-        FinalResponse::Failed { in_doubt_at }
-        | FinalResponse::Cancelled { in_doubt_at }
-        | FinalResponse::ClientDisconnected { in_doubt_at } => in_doubt_at.as_ref(),
+        FinalResponse::Failed { in_doubt_endpoint }
+        | FinalResponse::Cancelled { in_doubt_endpoint }
+        | FinalResponse::ClientDisconnected { in_doubt_endpoint } => in_doubt_endpoint.as_ref(),
         FinalResponse::Served(_) | FinalResponse::Rejected(_) => None,
     }
 }
--- a/crates/proxy/src/client/responses.rs
+++ b/crates/proxy/src/client/responses.rs
@@ -24,7 +24,7 @@
             return Ok(ControlFlow::Continue(()));
         }
         FinalResponse::Rejected(retry_after) => ErrorReply::RequestRejected { retry_after },
-        FinalResponse::ClientDisconnected { in_doubt_at: None } => {
+        FinalResponse::ClientDisconnected { in_doubt_endpoint: None } => {
             ErrorReply::RequestRejected { retry_after: None }
         }
         FinalResponse::Failed { .. } | FinalResponse::ClientDisconnected { .. } => ErrorReply::RequestFailed,
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -16,7 +16,7 @@
 use std::path::Path;
 
 /// The least number of file descriptors with which a pooler can serve a few clients and servers.
-const MIN_SOCKETS: usize = 24;
+const MIN_DESCRIPTORS: usize = 24;
 
 /// The configuration of a pooler.
 #[derive(Clone, Debug)]
@@ -26,13 +26,13 @@
     /// The address on which the pooler listens for clients.
     pub listen: SocketAddr,
     /// The address of the discovery service; `None` if another source provides the endpoints.
-    pub discovery: Option<SocketAddr>,
+    pub discovery_address: Option<SocketAddr>,
     /// The seed of the random number generators.
     pub seed: u64,
     /// The number of file descriptors that the process may open.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The last known endpoint list, as a snapshot; the pooler serves from it until discovery reports.
-    pub known: EndpointList,
+    pub known_endpoints: EndpointList,
     /// The settings of the router.
     pub settings: Settings,
     /// The settings of the proxy.
@@ -77,17 +77,20 @@
         let settings = router_settings(&map)?;
         let proxy = ProxySettings::decode(&map)?;
         let seed = document.seed()?;
-        let sockets = document.limits.sockets;
-        if sockets < MIN_SOCKETS {
-            return Err(ConfigError::TooFewSockets { configured: sockets, required: MIN_SOCKETS });
+        let max_descriptors = document.limits.sockets;
+        if max_descriptors < MIN_DESCRIPTORS {
+            return Err(ConfigError::TooFewSockets {
+                configured: max_descriptors,
+                required: MIN_DESCRIPTORS,
+            });
         }
         Ok(Self {
             name: document.name,
             listen: document.listen,
-            discovery: document.discovery,
+            discovery_address: document.discovery,
             seed,
-            sockets,
-            known: EndpointList { is_snapshot: true, ..document.known },
+            max_descriptors,
+            known_endpoints: EndpointList { is_snapshot: true, ..document.known },
             settings,
             proxy,
         })
--- a/crates/proxy/src/discovery/http.rs
+++ b/crates/proxy/src/discovery/http.rs
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// Fails if the status is not 200, or the head is malformed or exceeds 4 MiB.
-pub fn head(data: &[u8]) -> Result<Option<Head>, HttpError> {
+pub fn parse_head(data: &[u8]) -> Result<Option<Head>, HttpError> {
     let malformed = HttpError::Malformed("HTTP response head");
     let Some(end) = find(data, HEAD_END) else {
         return if data.len() > MAX_PART_SIZE { Err(malformed) } else { Ok(None) };
@@ -59,7 +59,7 @@
 /// # Errors
 ///
 /// Fails if the chunk is malformed, or its content exceeds 4 MiB.
-pub fn chunk(data: &[u8]) -> Result<Option<(&[u8], usize)>, HttpError> {
+pub fn parse_chunk(data: &[u8]) -> Result<Option<(&[u8], usize)>, HttpError> {
     let malformed = HttpError::Malformed("HTTP chunk");
     let Some(line_end) = find(&data[..data.len().min(MAX_CHUNK_SIZE_LINE)], LINE_END) else {
         return if data.len() < MAX_CHUNK_SIZE_LINE { Ok(None) } else { Err(malformed) };
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -180,7 +180,7 @@
     /// complete.
     async fn read_head(&mut self) -> Result<Option<http::Head>, WatchError> {
         loop {
-            if let Some(head) = http::head(self.buffer.data())? {
+            if let Some(head) = http::parse_head(self.buffer.data())? {
                 self.buffer.consume(head.size);
                 return Ok(Some(head));
             }
@@ -194,7 +194,7 @@
     fn move_body_part(&mut self, chunked: bool, stream: &mut JsonStream) -> Result<BodyPart, HttpError> {
         let data = self.buffer.data();
         let (part, size) = match chunked {
-            true => match http::chunk(data)? {
+            true => match http::parse_chunk(data)? {
                 Some(([], _)) => return Ok(BodyPart::End),
                 Some(chunk) => chunk,
                 None => return Ok(BodyPart::Incomplete),
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -60,7 +60,7 @@
 
     fn apply(&self, config: &Config) {
         self.counters.config_reloads.increment();
-        tracing::info!("configuration read again, discovery at {:?}", config.discovery);
-        self.discovery.set(config.discovery);
+        tracing::info!("configuration read again, discovery at {:?}", config.discovery_address);
+        self.discovery.set(config.discovery_address);
     }
 }
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -32,7 +32,7 @@
 
 /// The time from SIGTERM to the start of each stage of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Schedule {
+pub struct ShutdownSchedule {
     /// Idle client connections are closed from this time on.
     pub closing_idle: Duration,
     /// No more client connections are accepted.
@@ -43,7 +43,7 @@
     pub terminated: Duration,
 }
 
-impl Schedule {
+impl ShutdownSchedule {
     /// The schedule for requests whose deadlines are at most `longest_deadline`.
     #[must_use]
     pub fn new(longest_deadline: Duration) -> Self {
@@ -78,7 +78,7 @@
     /// Sets the stages one after another as scheduled, the last ones earlier if no client is connected.
     pub(crate) async fn run(self) {
         let started = Instant::now();
-        let schedule = Schedule::new(self.longest_deadline);
+        let schedule = ShutdownSchedule::new(self.longest_deadline);
         self.stages.draining.set();
         tracing::info!("draining with {} clients connected", (self.connected_clients)());
         Timer::at(started + schedule.closing_idle).await;
--- a/crates/proxy/src/request/final_response.rs
+++ b/crates/proxy/src/request/final_response.rs
@@ -13,16 +13,16 @@
     /// The request failed; it may or may not have run.
     Failed {
         /// The last endpoint that may have run the request; `None` if none can have.
-        in_doubt_at: Option<EndpointId>,
+        in_doubt_endpoint: Option<EndpointId>,
     },
     /// The client cancelled the request.
     Cancelled {
         /// The last endpoint that may have run the request; `None` if none can have.
-        in_doubt_at: Option<EndpointId>,
+        in_doubt_endpoint: Option<EndpointId>,
     },
     /// The client closed its connection, or its sending side of it.
     ClientDisconnected {
         /// The last endpoint that may have run the request; `None` if none can have.
-        in_doubt_at: Option<EndpointId>,
+        in_doubt_endpoint: Option<EndpointId>,
     },
 }
--- a/crates/proxy/src/request/serve.rs
+++ b/crates/proxy/src/request/serve.rs
@@ -67,7 +67,7 @@
     /// The number of attempts that have ended.
     attempts: u32,
     /// The last endpoint that may have run the request.
-    in_doubt_at: Option<EndpointId>,
+    in_doubt_endpoint: Option<EndpointId>,
 }
 
 impl<'a> ActiveRequest<'a> {
@@ -82,7 +82,7 @@
             since_last_write: request.last_write.map(|at| now - at),
             expected_work: None,
         });
-        Self { router, handle, attempts: 0, in_doubt_at: None }
+        Self { router, handle, attempts: 0, in_doubt_endpoint: None }
     }
 
     /// Makes one attempt and reports its completion to the router. Returns the final response if the request
@@ -128,7 +128,7 @@
     ) -> Option<R> {
         let AttemptResult { outcome, metadata, load_report, response } = result;
         if !outcome.never_ran() {
-            self.in_doubt_at = Some(endpoint.clone());
+            self.in_doubt_endpoint = Some(endpoint.clone());
         }
         if matches!(interruption, Some(Interruption::Aborted(_))) {
             self.report_abandoned();
@@ -176,23 +176,23 @@
 
     fn fail<R>(&self) -> FinalResponse<R> {
         self.router.counters().failed.increment();
-        FinalResponse::Failed { in_doubt_at: self.in_doubt_at.clone() }
+        FinalResponse::Failed { in_doubt_endpoint: self.in_doubt_endpoint.clone() }
     }
 
     /// The final response to an aborted request. At shutdown a request is rejected only if it can't have run,
     /// since a rejection guarantees that a retry is safe.
     fn abort<R>(&self, reason: AbortReason) -> FinalResponse<R> {
-        let in_doubt_at = self.in_doubt_at.clone();
+        let in_doubt_endpoint = self.in_doubt_endpoint.clone();
         match reason {
             AbortReason::ClientDisconnected => {
                 self.router.counters().client_disconnects.increment();
-                FinalResponse::ClientDisconnected { in_doubt_at }
+                FinalResponse::ClientDisconnected { in_doubt_endpoint }
             }
             AbortReason::CancelRequested => {
                 self.router.counters().cancelled.increment();
-                FinalResponse::Cancelled { in_doubt_at }
+                FinalResponse::Cancelled { in_doubt_endpoint }
             }
-            AbortReason::Shutdown if in_doubt_at.is_some() => self.fail(),
+            AbortReason::Shutdown if in_doubt_endpoint.is_some() => self.fail(),
             AbortReason::Shutdown => reject(self.router, None),
         }
     }
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -33,10 +33,13 @@
 #[test]
 fn a_configuration_is_decoded_with_defaults_and_settings_fixed_by_the_proxy() {
     let config = decode(&document()).unwrap();
-    assert_eq!((config.name.as_str(), config.seed, config.sockets), ("n1", 0x8c1f_30d2_7a5b_e964, 1_024));
-    assert_eq!(config.discovery, None);
-    assert!(config.known.is_snapshot, "the known endpoint list is a snapshot");
-    assert_eq!((config.known.generation, config.known.endpoints.len()), (7, 1));
+    assert_eq!(
+        (config.name.as_str(), config.seed, config.max_descriptors),
+        ("n1", 0x8c1f_30d2_7a5b_e964, 1_024)
+    );
+    assert_eq!(config.discovery_address, None);
+    assert!(config.known_endpoints.is_snapshot, "the known endpoint list is a snapshot");
+    assert_eq!((config.known_endpoints.generation, config.known_endpoints.endpoints.len()), (7, 1));
     let proxy = config.proxy;
     assert_eq!(proxy.connect_timeout, Duration::from_millis(250), "the default connect timeout");
     assert_eq!(proxy.server_idle_timeout, Duration::from_secs(6));
@@ -64,13 +67,13 @@
 
 #[test]
 fn a_configuration_with_fewer_than_24_descriptors_is_rejected() {
-    let sockets = |count: usize| {
+    let max_descriptors = |count: usize| {
         let mut document = document();
         document["limits"]["sockets"] = json!(count);
-        decode(&document).map(|config| config.sockets)
+        decode(&document).map(|config| config.max_descriptors)
     };
-    assert_eq!(sockets(24).unwrap(), 24);
-    assert!(matches!(sockets(23), Err(ConfigError::TooFewSockets { configured: 23, required: 24 })));
+    assert_eq!(max_descriptors(24).unwrap(), 24);
+    assert!(matches!(max_descriptors(23), Err(ConfigError::TooFewSockets { configured: 23, required: 24 })));
 }
 
 #[test]
--- a/crates/proxy/tests/parsers.rs
+++ b/crates/proxy/tests/parsers.rs
@@ -24,7 +24,7 @@
         let _ = protocol::parse_error_response(&data);
         let _ = protocol::parse_parameter_status(&data);
         let _ = protocol::parse_data_row(&data);
-        let _ = (http::head(&data), http::chunk(&data));
+        let _ = (http::parse_head(&data), http::parse_chunk(&data));
         if let Ok(Some(message)) = protocol::parse_backend_message(&data) {
             let _ = ResponseParser::default().accept(&message);
         }
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -130,7 +130,7 @@
         disconnected.set(true);
         let response = poll_once(serving.as_mut()).await;
         assert!(
-            matches!(response, Some(FinalResponse::ClientDisconnected { in_doubt_at: None })),
+            matches!(response, Some(FinalResponse::ClientDisconnected { in_doubt_endpoint: None })),
             "{response:?}"
         );
         assert!(!transport.written.get(), "a query was written for a client that had disconnected");
@@ -162,7 +162,7 @@
         assert!(poll_once(serving.as_mut()).await.is_none());
         disconnected.set(true);
         let response = poll_once(serving.as_mut()).await;
-        let Some(FinalResponse::ClientDisconnected { in_doubt_at: Some(endpoint) }) = response else {
+        let Some(FinalResponse::ClientDisconnected { in_doubt_endpoint: Some(endpoint) }) = response else {
             panic!("{response:?}")
         };
         assert_eq!(&*endpoint.0, "s-1");
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,6 +1,6 @@
 //! Tests of the schedule of a graceful shutdown over the range of request deadlines.
 
-use pooler_proxy::lifecycle::shutdown::Schedule;
+use pooler_proxy::lifecycle::shutdown::ShutdownSchedule;
 use std::time::Duration;
 
 /// How long new connections arrive after SIGTERM.
@@ -12,7 +12,8 @@
 fn the_stages_are_in_order_and_leave_time_for_the_last_responses() {
     for ms in (0..5_000).step_by(10) {
         let deadline = Duration::from_millis(ms);
-        let Schedule { closing_idle, not_accepting, terminating, terminated } = Schedule::new(deadline);
+        let ShutdownSchedule { closing_idle, not_accepting, terminating, terminated } =
+            ShutdownSchedule::new(deadline);
         assert!(ARRIVAL_PERIOD <= closing_idle, "{ms}: late arrivals are served");
         assert!(
             closing_idle <= not_accepting && not_accepting <= terminating,
@@ -22,6 +23,6 @@
             terminating + PROCESS_STALL <= terminated,
             "{ms}: last responses from {terminating:?} to {terminated:?}"
         );
-        assert!(terminated <= Schedule::earliest_kill(deadline), "{ms}: {terminated:?}");
+        assert!(terminated <= ShutdownSchedule::earliest_kill(deadline), "{ms}: {terminated:?}");
     }
 }
