--- a/crates/pooler/src/commands/check.rs
+++ b/crates/pooler/src/commands/check.rs
@@ -27,7 +27,7 @@
 fn check_operator_file(path: &Path) -> Result<(), CommandError> {
     let operator = OperatorConfig::load(path)?;
     if let Some(settings) = &operator.registry {
-        registry_config(settings, None)?.client()?;
+        registry_config(settings, None)?.build_client()?;
     }
     Ok(())
 }
--- a/crates/pooler/src/registry_config.rs
+++ b/crates/pooler/src/registry_config.rs
@@ -89,7 +89,7 @@
         zone_key: settings.metadata_keys.zone.clone(),
         role_key: settings.metadata_keys.role.clone(),
         primary_role: settings.primary_role.clone(),
-        started_key: settings.metadata_keys.started.clone(),
+        started_at_key: settings.metadata_keys.started.clone(),
         use_secure_port: settings.use_secure_port,
         drain_release,
     }
--- a/crates/service-registry/src/config.rs
+++ b/crates/service-registry/src/config.rs
@@ -37,7 +37,7 @@
     /// # Errors
     ///
     /// When a file can't be used or TLS can't be set up.
-    pub fn client(&self) -> Result<Client, SetupError> {
+    pub fn build_client(&self) -> Result<Client, SetupError> {
         let use_tls = self.servers.iter().any(RegistryServer::is_tls);
         Client::new(&self.credentials, use_tls, self.call_timeout)
     }
--- a/crates/service-registry/src/eureka/lease.rs
+++ b/crates/service-registry/src/eureka/lease.rs
@@ -24,7 +24,7 @@
 
 /// The outcome of a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaseResponse {
+pub enum LeaseOutcome {
     /// The registry accepted the request.
     Accepted,
     /// The registry holds no registration of this pooler.
@@ -103,18 +103,18 @@
     }
 
     /// Records the outcome of a request and schedules the next one.
-    pub fn record_response(&mut self, now: Timestamp, request: LeaseRequest, response: LeaseResponse) {
-        match (request, response) {
-            (LeaseRequest::Register(status) | LeaseRequest::Renew(status), LeaseResponse::Accepted) => {
+    pub fn record_response(&mut self, now: Timestamp, request: LeaseRequest, outcome: LeaseOutcome) {
+        match (request, outcome) {
+            (LeaseRequest::Register(status) | LeaseRequest::Renew(status), LeaseOutcome::Accepted) => {
                 self.registered_status = Some(status);
                 self.next_request_at = now + self.renewal_interval;
                 self.consecutive_failures = 0;
             }
-            (LeaseRequest::Cancel, LeaseResponse::Accepted | LeaseResponse::NotRegistered) => {
+            (LeaseRequest::Cancel, LeaseOutcome::Accepted | LeaseOutcome::NotRegistered) => {
                 self.registered_status = None;
             }
             // The registry lost the registration: register again at once, with a later `lastDirtyTimestamp`.
-            (LeaseRequest::Renew(_), LeaseResponse::NotRegistered) => {
+            (LeaseRequest::Renew(_), LeaseOutcome::NotRegistered) => {
                 self.registered_status = None;
                 self.advance_last_dirty(now);
                 self.next_request_at = now;
--- a/crates/service-registry/src/eureka/mapping.rs
+++ b/crates/service-registry/src/eureka/mapping.rs
@@ -43,7 +43,7 @@
     /// The value of the role that marks a primary.
     pub primary_role: String,
     /// The metadata key of the time of the last start, in ms since 1970.
-    pub started_key: String,
+    pub started_at_key: String,
     /// Whether endpoints listen on the instance's secure port instead of its plain one.
     pub use_secure_port: bool,
     /// What ends a drain that was set by an override.
@@ -140,7 +140,7 @@
     }
 
     fn started_at(&self, instance: &Instance) -> Option<Timestamp> {
-        let ms: i64 = metadata_value(instance, &self.started_key)?.parse().ok()?;
+        let ms: i64 = metadata_value(instance, &self.started_at_key)?.parse().ok()?;
         (ms > 0).then(|| Timestamp(ms.saturating_mul(1_000)))
     }
 
--- a/crates/service-registry/src/eureka/poll_schedule.rs
+++ b/crates/service-registry/src/eureka/poll_schedule.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollFailure {
     /// There was no response, or its body can't be read.
-    Unusable,
+    UnusableResponse,
     /// The server sent an error response.
     Status {
         /// The HTTP status code.
--- a/crates/service-registry/src/registrar.rs
+++ b/crates/service-registry/src/registrar.rs
@@ -4,7 +4,7 @@
 use crate::config::{RegistryConfig, SelfRegistration};
 use crate::counters::{RegistryCounters, increment};
 use crate::eureka::instance::InstanceStatus;
-use crate::eureka::lease::{LeaseRequest, LeaseResponse, RegistrationLease};
+use crate::eureka::lease::{LeaseOutcome, LeaseRequest, RegistrationLease};
 use crate::sink::EventSink;
 use crate::timer::sleep_until;
 use async_io::Timer;
@@ -39,7 +39,7 @@
         counters: Rc<RegistryCounters>,
     ) -> Result<Option<Self>, SetupError> {
         let Some(registration) = config.self_registration.clone() else { return Ok(None) };
-        let client = config.client()?;
+        let client = config.build_client()?;
         Ok(Some(Self { servers: config.servers.clone(), client, registration, sink, counters }))
     }
 
@@ -59,12 +59,12 @@
                     // once: a server that does not respond must not delay the announcement.
                     let interrupted = async {
                         status_changed.await;
-                        LeaseResponse::Failed
+                        LeaseOutcome::Failed
                     };
-                    let response = or(sent, interrupted).await;
-                    lease.record_response(self.sink.now(), request, response);
-                    self.count_response(response);
-                    if response == LeaseResponse::Failed {
+                    let outcome = or(sent, interrupted).await;
+                    lease.record_response(self.sink.now(), request, outcome);
+                    self.count_response(outcome);
+                    if outcome == LeaseOutcome::Failed {
                         server_index = (server_index + 1) % self.servers.len();
                     }
                 }
@@ -77,7 +77,7 @@
         server_index: usize,
         request: LeaseRequest,
         last_dirty_ms: i64,
-    ) -> LeaseResponse {
+    ) -> LeaseOutcome {
         let SelfRegistration { app, id, .. } = &self.registration;
         let (method, path, json) = match request {
             LeaseRequest::Register(status) => {
@@ -93,16 +93,16 @@
         };
         let request = ApiRequest { method, path: &path, json };
         match self.client.call(&self.servers[server_index], &request, &mut DiscardBody).await {
-            Ok(()) => LeaseResponse::Accepted,
-            Err(CallError::Status { status: 404, .. }) => LeaseResponse::NotRegistered,
-            Err(_) => LeaseResponse::Failed,
+            Ok(()) => LeaseOutcome::Accepted,
+            Err(CallError::Status { status: 404, .. }) => LeaseOutcome::NotRegistered,
+            Err(_) => LeaseOutcome::Failed,
         }
     }
 
-    fn count_response(&self, response: LeaseResponse) {
-        increment(match response {
-            LeaseResponse::Accepted => &self.counters.lease_requests_accepted,
-            LeaseResponse::NotRegistered | LeaseResponse::Failed => &self.counters.lease_requests_failed,
+    fn count_response(&self, outcome: LeaseOutcome) {
+        increment(match outcome {
+            LeaseOutcome::Accepted => &self.counters.lease_requests_accepted,
+            LeaseOutcome::NotRegistered | LeaseOutcome::Failed => &self.counters.lease_requests_failed,
         });
     }
 }
--- a/crates/service-registry/src/watcher.rs
+++ b/crates/service-registry/src/watcher.rs
@@ -59,7 +59,7 @@
         sink: S,
         counters: Rc<RegistryCounters>,
     ) -> Result<Self, SetupError> {
-        let client = config.client()?;
+        let client = config.build_client()?;
         let schedule = PollSchedule::new(config.servers.len(), config.polling, seed, sink.now());
         Ok(Self {
             config,
@@ -135,7 +135,7 @@
             CallError::Status { status, retry_after } => {
                 PollFailure::Status { status: *status, retry_after: *retry_after }
             }
-            _ => PollFailure::Unusable,
+            _ => PollFailure::UnusableResponse,
         };
         self.schedule.record_failure(self.sink.now(), poll.fetch, failure);
         increment(&self.counters.poll_failures);
--- a/crates/service-registry/tests/bodies.rs
+++ b/crates/service-registry/tests/bodies.rs
@@ -55,7 +55,7 @@
         zone_key: "zone".into(),
         role_key: "role".into(),
         primary_role: "primary".into(),
-        started_key: "startedAtMs".into(),
+        started_at_key: "startedAtMs".into(),
         ..InstanceMapping::default()
     }
 }
