--- a/crates/pooler/tests/soak/load_client.rs
+++ b/crates/pooler/tests/soak/load_client.rs
@@ -47,7 +47,7 @@
     pub fn run(mut self) {
         while !self.ended.load(Ordering::Relaxed) {
             let Ok(socket) = TcpStream::connect(self.address) else { return };
-            let mut client = Client::over(socket, "");
+            let mut client = Client::on_socket(socket, "");
             // The end of the startup, then the response to the empty query.
             if !(client.read_response().is_ready() && client.read_response().is_ready()) {
                 std::thread::sleep(Duration::from_millis(20));
--- a/crates/pooler/tests/sockets/client_disconnects.rs
+++ b/crates/pooler/tests/sockets/client_disconnects.rs
@@ -35,13 +35,13 @@
 
 #[test]
 fn a_disconnect_during_a_connect_sends_nothing() {
-    let (gate, server) = FakeServer::with_gated_accepts("s-1");
+    let (gate, server) = FakeServer::with_gated_startup("s-1");
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
     client.send_query(&read_statement("1"));
-    assert!(pooler.counts(" server_connections_opened=1 "));
+    assert!(pooler.reaches_counter(" server_connections_opened=1 "));
     drop(client);
-    assert!(pooler.counts(" client_disconnects=1 "));
+    assert!(pooler.reaches_counter(" client_disconnects=1 "));
     gate.open();
     // The second request is served on a server connection of its own. By then the connect for the first
     // request has completed as well.
@@ -66,9 +66,9 @@
     let watch = discovery.accept_watch();
     let mut client = Client::connect(&pooler);
     client.send_query(&write_statement("1"));
-    assert!(pooler.counts(" outcome.not_eligible=1"));
+    assert!(pooler.reaches_counter(" outcome.not_eligible=1"));
     drop(client);
-    assert!(pooler.counts(" client_disconnects=1 "));
+    assert!(pooler.reaches_counter(" client_disconnects=1 "));
     watch.send(delta(42, vec![primary.entry("up", "master")]));
     assert_eq!(Client::connect(&pooler).query(&write_statement("2")).text(), Some("s-2"));
     assert_eq!(
@@ -96,7 +96,7 @@
     client.send_query(&read_statement("1"));
     server.wait_for_statement();
     drop(client);
-    assert!(pooler.counts(" client_disconnects=1 "));
+    assert!(pooler.reaches_counter(" client_disconnects=1 "));
     gate.open();
     let mut next = Client::connect(&pooler);
     for id in ["2", "3", "4"] {
@@ -116,7 +116,10 @@
     client.stream.write_bytes(&pipelined);
     drop(client);
     // The disconnect is detected while the first request is in flight, and the requests after it are dropped.
-    assert!(pooler.counts_within(2_000, " client_disconnects=1 "), "the disconnect must be detected");
+    assert!(
+        pooler.reaches_counter_within(2_000, " client_disconnects=1 "),
+        "the disconnect must be detected"
+    );
     gate.open();
     assert_eq!(Client::connect(&pooler).query(&read_statement("3")).text(), Some("s-1"));
     assert_eq!(server.statements().len(), 2, "no pipelined request may be sent");
@@ -132,16 +135,16 @@
         let mut pipelined = Vec::new();
         for request in 0.. {
             pipelined.extend(query_bytes([read_statement(&format!("{number}-{request}"))]));
-            if pipelined.len() > FAR_AHEAD {
+            if pipelined.len() > BEYOND_READ_AHEAD_BYTES {
                 break;
             }
         }
         client.stream.write_bytes(&pipelined);
     }
-    assert!(pooler.counts(" requests=20 "));
+    assert!(pooler.reaches_counter(" requests=20 "));
     drop(clients);
     assert!(
-        pooler.counts(" client_disconnects=20 "),
+        pooler.reaches_counter(" client_disconnects=20 "),
         "all disconnects must be detected while the first requests are in flight"
     );
     gate.open();
@@ -154,16 +157,16 @@
 #[test]
 fn a_disconnect_while_the_process_was_stopped_sends_nothing() {
     for round in 0..5 {
-        let (gate, server) = FakeServer::with_gated_accepts("s-1");
+        let (gate, server) = FakeServer::with_gated_startup("s-1");
         let pooler = PoolerProcess::with_replica(&server);
         let mut client = Client::connect(&pooler);
         client.send_query(&read_statement("gone"));
-        assert!(pooler.counts(" server_connections_opened=1 "));
+        assert!(pooler.reaches_counter(" server_connections_opened=1 "));
         pooler.while_stopped(|| {
             drop(client);
             gate.open();
         });
-        assert!(pooler.counts(" client_disconnects=1 "));
+        assert!(pooler.reaches_counter(" client_disconnects=1 "));
         assert_eq!(Client::connect(&pooler).query(&read_statement("next")).text(), Some("s-1"));
         let statements = server.statements();
         assert!(
@@ -177,7 +180,7 @@
 fn a_client_that_half_closes_receives_the_rejection_of_its_request() {
     // The pooler cannot tell a half-close from a close, so it starts no attempt; but the client may still be
     // reading.
-    let (gate, server) = FakeServer::with_gated_accepts("s-1");
+    let (gate, server) = FakeServer::with_gated_startup("s-1");
     let pooler = PoolerProcess::with_replica(&server);
     for statement in [read_statement("1"), write_statement("2")] {
         let mut client = Client::connect(&pooler);
--- a/crates/pooler/tests/sockets/connection_limits.rs
+++ b/crates/pooler/tests/sockets/connection_limits.rs
@@ -33,8 +33,8 @@
         let mut client = Client::connect_with(&pooler, b"");
         (client.read_response(), client)
     };
-    let welcomed = |(response, _): &(Response, Client)| response.is_ready();
-    let (_, mut last) = std::iter::repeat_with(connect).find(welcomed).unwrap();
+    let is_admitted = |(response, _): &(Response, Client)| response.is_ready();
+    let (_, mut last) = std::iter::repeat_with(connect).find(is_admitted).unwrap();
     assert!(idle.is_closed(), "the idle client must be evicted");
     last.send_query(&read_statement("15"));
     busy.push(last);
@@ -42,7 +42,7 @@
     // All clients are busy now. The next one must receive the whole rejection: its connection must not be
     // reset because its request is unread.
     let mut rejected_client =
-        Client::over(TcpStream::connect(pooler.address).unwrap(), &read_statement("16"));
+        Client::on_socket(TcpStream::connect(pooler.address).unwrap(), &read_statement("16"));
     let response = rejected_client.read_response();
     assert_eq!((response.tags.as_str(), response.sql_state()), ("E", Some("53300")));
     assert!(!rejected_client.stream.was_reset, "the connection must not be reset");
@@ -67,7 +67,7 @@
     pooler.wait_for_counter(" requests=14 ");
     // All slots are taken, and this client has held its slot without a request for the longest time.
     last.send_query(&read_statement("15"));
-    assert!(pooler.counts(" requests=15 "), "the client must not have been evicted");
+    assert!(pooler.reaches_counter(" requests=15 "), "the client must not have been evicted");
     busy.push(last);
     gate.open();
     assert!(busy.iter_mut().all(|client| client.read_response().is_ready()));
@@ -82,7 +82,7 @@
     // This client's connection takes the last descriptor.
     pooler.limit_further_descriptors(1);
     let mut client = Client::connect(&pooler);
-    assert!(pooler.counts(" resource_waits=1 "), "accepting must wait for a free descriptor");
+    assert!(pooler.reaches_counter(" resource_waits=1 "), "accepting must wait for a free descriptor");
     // This is far longer than the pause in accepting and the age from which the client may be evicted.
     let exhausted_at = Instant::now();
     while exhausted_at.elapsed() < Duration::from_millis(100) {
@@ -135,7 +135,7 @@
         "an established client must not be evicted"
     );
     for socket in &mut silent {
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         assert!(!matches!(socket.read(&mut [0]), Ok(1)), "a silent client must be closed without a message");
     }
     for client in &mut incomplete {
@@ -196,13 +196,13 @@
 
 impl FullPooler {
     fn start(configure: impl FnOnce(PoolerConfig) -> PoolerConfig) -> Self {
-        let (gate, server) = FakeServer::with_gated_accepts("s-1");
+        let (gate, server) = FakeServer::with_gated_startup("s-1");
         let pooler =
             PoolerProcess::with_server(&server, "replica", |config| configure(config.sockets(FEW_SOCKETS)));
         let mut clients = Vec::new();
         for count in 1..=15 {
             clients.push(busy_client(&pooler, &format!("busy-{count}")));
-            assert!(pooler.counts(&format!(" requests={count} ")));
+            assert!(pooler.reaches_counter(&format!(" requests={count} ")));
         }
         Self { gate, _server: server, pooler, clients }
     }
@@ -216,8 +216,8 @@
         assert!(client.read_response().value.is_some());
     }
     let mut late = Client::connect_with(&pooler, b"");
-    let welcome = late.read_response();
-    assert!(welcome.is_ready(), "{welcome:?}");
+    let startup_response = late.read_response();
+    assert!(startup_response.is_ready(), "{startup_response:?}");
     assert!(late.query(&read_statement("late")).value.is_some());
 }
 
--- a/crates/pooler/tests/sockets/deadlines.rs
+++ b/crates/pooler/tests/sockets/deadlines.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_connect_that_completes_after_the_deadline_sends_nothing() {
-    let (gate, server) = FakeServer::with_gated_accepts("s-1");
+    let (gate, server) = FakeServer::with_gated_startup("s-1");
     let pooler = PoolerProcess::with_replica(&server);
     let mut client = Client::connect(&pooler);
     for (id, statement) in [("1", read_statement("1")), ("2", write_statement("2"))] {
@@ -80,11 +80,11 @@
 #[test]
 fn a_request_whose_deadline_passed_while_the_process_was_stopped_is_not_sent() {
     for round in 0..5 {
-        let (gate, server) = FakeServer::with_gated_accepts("s-1");
+        let (gate, server) = FakeServer::with_gated_startup("s-1");
         let pooler = PoolerProcess::with_replica(&server);
         let mut client = Client::connect(&pooler);
         client.send_query(&with_deadline(&read_statement("late"), 200));
-        assert!(pooler.counts(" server_connections_opened=1 "));
+        assert!(pooler.reaches_counter(" server_connections_opened=1 "));
         pooler.while_stopped(|| gate.open());
         assert_eq!(client.read_response().sql_state(), Some("53300"));
         assert_eq!(client.query(&read_statement("next")).text(), Some("s-1"));
--- a/crates/pooler/tests/sockets/malformed_input.rs
+++ b/crates/pooler/tests/sockets/malformed_input.rs
@@ -96,7 +96,7 @@
     client.stream.write_bytes(&bytes[..complete + 20]);
     assert_eq!(client.read_response().text(), Some("s-1"), "the complete command must be answered");
     client.half_close();
-    assert!(client.is_closed_in_order());
+    assert!(client.is_closed_without_reset());
     assert_eq!(server.statements().len(), 1);
 }
 
--- a/crates/pooler/tests/sockets/proxying.rs
+++ b/crates/pooler/tests/sockets/proxying.rs
@@ -66,7 +66,7 @@
     for byte in startup_bytes(&query_bytes([read_statement("1")])) {
         (&stream).write_all(&[byte]).unwrap();
     }
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let (mut received, mut chunk) = (Vec::new(), [0; 1_024]);
     while !received.windows(3).any(|window| window == b"s-1") {
         let count = (&stream).read(&mut chunk).unwrap();
@@ -87,7 +87,7 @@
     let mut client = Client::connect(&pooler);
     let mut pipelined = Vec::new();
     let mut count = 0;
-    while pipelined.len() <= FAR_AHEAD {
+    while pipelined.len() <= BEYOND_READ_AHEAD_BYTES {
         pipelined.extend(query_bytes([read_statement(&count.to_string())]));
         count += 1;
     }
--- a/crates/pooler/tests/sockets/shutdown.rs
+++ b/crates/pooler/tests/sockets/shutdown.rs
@@ -16,7 +16,7 @@
     client.send_query(&read_statement("2"));
     client.half_close();
     assert!(pooler.wait().success());
-    assert!(client.is_closed_in_order(), "the connection must not be reset");
+    assert!(client.is_closed_without_reset(), "the connection must not be reset");
     assert_eq!(server.statements().len(), 1, "the request sent after the close must not be forwarded");
 }
 
@@ -41,7 +41,7 @@
         return false;
     }
     let mut late =
-        Client::over(late.expect("the pooler must still accept connections"), &read_statement("2"));
+        Client::on_socket(late.expect("the pooler must still accept connections"), &read_statement("2"));
     gate.open();
     assert!(late.read_response().is_ready(), "the startup of the late client must complete");
     for client in [&mut busy, &mut late] {
@@ -78,11 +78,11 @@
 
 impl ShutdownDuringConnect {
     fn begin() -> Self {
-        let (gate, server) = FakeServer::with_gated_accepts("s-1");
+        let (gate, server) = FakeServer::with_gated_startup("s-1");
         let pooler = PoolerProcess::with_replica(&server);
         let mut client = Client::connect(&pooler);
         client.send_query(&read_statement("1"));
-        assert!(pooler.counts(" server_connections_opened=1 "));
+        assert!(pooler.reaches_counter(" server_connections_opened=1 "));
         pooler.begin_shutdown();
         Self { gate, server, pooler, client }
     }
@@ -94,7 +94,7 @@
         ShutdownDuringConnect::begin();
     gate.open();
     assert_eq!(client.read_response().text(), Some("s-1"));
-    assert!(client.is_closed_in_order());
+    assert!(client.is_closed_without_reset());
     drop(client);
     assert!(pooler.wait().success());
 }
@@ -104,7 +104,7 @@
     let ShutdownDuringConnect { gate, server, mut pooler, mut client } = ShutdownDuringConnect::begin();
     // The connect does not complete in time. The client is answered before the earliest kill, and may retry.
     assert_eq!(client.read_response().sql_state(), Some("53300"));
-    assert!(client.is_closed_in_order());
+    assert!(client.is_closed_without_reset());
     drop(client);
     assert!(pooler.wait().success());
     gate.open();
@@ -126,7 +126,7 @@
 #[test]
 fn a_shutdown_answers_accepted_requests_under_short_deadlines() {
     for deadline in [100, 300] {
-        let (gate, server) = FakeServer::with_gated_accepts("s-1");
+        let (gate, server) = FakeServer::with_gated_startup("s-1");
         let mut pooler = PoolerProcess::with_server(&server, "replica", |config| {
             config.with_every_class("Deadline", deadline)
         });
--- a/crates/pooler/tests/support/client.rs
+++ b/crates/pooler/tests/support/client.rs
@@ -63,7 +63,7 @@
     }
 
     /// Writes the startup message and a query to an open connection. Reads nothing.
-    pub fn over(socket: TcpStream, statement: &str) -> Self {
+    pub fn on_socket(socket: TcpStream, statement: &str) -> Self {
         Self::start(socket, &query_bytes([statement]))
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Like [`Self::is_closed`], but false if the connection was reset.
-    pub fn is_closed_in_order(&mut self) -> bool {
+    pub fn is_closed_without_reset(&mut self) -> bool {
         self.is_closed() && !self.stream.was_reset
     }
 }
--- a/crates/pooler/tests/support/fake_discovery.rs
+++ b/crates/pooler/tests/support/fake_discovery.rs
@@ -1,6 +1,6 @@
 //! A fake discovery service; tests send the updates of its watches.
 
-use super::{PATIENCE, listen};
+use super::{STEP_TIMEOUT, listen};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -58,7 +58,7 @@
 
     /// Waits for the next watch.
     pub fn accept_watch(&self) -> Watch {
-        self.accept_watch_within(PATIENCE).unwrap()
+        self.accept_watch_within(STEP_TIMEOUT).unwrap()
     }
 
     /// Waits up to `timeout` for the next watch.
--- a/crates/pooler/tests/support/fake_server.rs
+++ b/crates/pooler/tests/support/fake_server.rs
@@ -93,7 +93,7 @@
     }
 
     /// A replica that sends no startup response, so that no connect completes, until the gate is open.
-    pub fn with_gated_accepts(id: &'static str) -> (Gate, Self) {
+    pub fn with_gated_startup(id: &'static str) -> (Gate, Self) {
         let (gate, waiter) = Gate::new();
         let server = Self::answering_after_accept_hook(id, "replica", move || waiter.wait());
         (gate, server)
--- a/crates/pooler/tests/support/message_stream.rs
+++ b/crates/pooler/tests/support/message_stream.rs
@@ -1,6 +1,6 @@
 //! PostgreSQL messages over a socket, from the client's or the server's side.
 
-use super::PATIENCE;
+use super::STEP_TIMEOUT;
 use pooler_proxy::protocol::{self, BackendKeyData, SqlState, write};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -8,7 +8,7 @@
 /// The most bytes that one read takes from the socket.
 const READ_SIZE: usize = 65_536;
 
-/// A stream of messages over a socket; reads and writes time out after [`PATIENCE`].
+/// A stream of messages over a socket; reads and writes time out after [`STEP_TIMEOUT`].
 pub struct MessageStream {
     pub socket: TcpStream,
     unread: Vec<u8>,
@@ -18,8 +18,8 @@
 
 impl MessageStream {
     pub fn new(socket: TcpStream) -> Self {
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
-        socket.set_write_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+        socket.set_write_timeout(Some(STEP_TIMEOUT)).unwrap();
         Self { socket, unread: Vec::new(), was_reset: false }
     }
 
--- a/crates/pooler/tests/support/mod.rs
+++ b/crates/pooler/tests/support/mod.rs
@@ -20,14 +20,15 @@
 pub use message_stream::MessageStream;
 pub use pooler_process::{PoolerProcess, Signal, spawn_pooler};
 pub use statements::{
-    DEADLINE_FIELD, FAR_AHEAD, query_bytes, read_statement, startup_bytes, with_deadline, write_statement,
+    BEYOND_READ_AHEAD_BYTES, DEADLINE_FIELD, query_bytes, read_statement, startup_bytes, with_deadline,
+    write_statement,
 };
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Timeout of each step, longer than any step takes: it only keeps a broken test from hanging.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The log position that fake servers report if the test doesn't depend on it, in Unix milliseconds.
 pub const ANY_POSITION_MS: &str = "1767225600123";
--- a/crates/pooler/tests/support/pooler_process.rs
+++ b/crates/pooler/tests/support/pooler_process.rs
@@ -1,6 +1,6 @@
 //! A pooler process under test, and the signals that tests send to it.
 
-use super::{FakeDiscovery, FakeServer, PATIENCE, PoolerConfig};
+use super::{FakeDiscovery, FakeServer, PoolerConfig, STEP_TIMEOUT};
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 
-/// The number of counter reports that [`PoolerProcess::counts`] requests at most.
+/// The number of counter reports that [`PoolerProcess::reaches_counter`] requests at most.
 const MAX_COUNTER_POLLS: usize = 5_000;
 
 /// A signal that tests send to a pooler.
@@ -103,7 +103,7 @@
                 }
             }
         });
-        let first_line = log.recv_timeout(PATIENCE).unwrap();
+        let first_line = log.recv_timeout(STEP_TIMEOUT).unwrap();
         let address = first_line.rsplit(' ').next().unwrap().parse().unwrap();
         Self { child, address, log, file, _silent_discovery: None }
     }
@@ -153,12 +153,12 @@
     }
 
     /// Requests counter reports until one contains this text; false if [`MAX_COUNTER_POLLS`] reports don't.
-    pub fn counts(&self, text: &str) -> bool {
-        self.counts_within(MAX_COUNTER_POLLS, text)
+    pub fn reaches_counter(&self, text: &str) -> bool {
+        self.reaches_counter_within(MAX_COUNTER_POLLS, text)
     }
 
-    /// Like [`Self::counts`], with at most `polls` reports.
-    pub fn counts_within(&self, polls: usize, text: &str) -> bool {
+    /// Like [`Self::reaches_counter`], with at most `polls` reports.
+    pub fn reaches_counter_within(&self, polls: usize, text: &str) -> bool {
         (0..polls).any(|_| self.counters().contains(text))
     }
 
@@ -170,7 +170,7 @@
     /// Waits for the next log line that contains this text. Discards the lines before it.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).unwrap();
+            let line = self.log.recv_timeout(STEP_TIMEOUT).unwrap();
             if line.contains(text) {
                 return line;
             }
--- a/crates/pooler/tests/support/statements.rs
+++ b/crates/pooler/tests/support/statements.rs
@@ -6,7 +6,7 @@
 pub const DEADLINE_FIELD: &str = "d=8000";
 
 /// An amount of pipelined requests, in bytes, that exceeds every read buffer of the pooler.
-pub const FAR_AHEAD: usize = 600 * 1024;
+pub const BEYOND_READ_AHEAD_BYTES: usize = 600 * 1024;
 
 /// A read that any replica may serve.
 pub fn read_statement(id: &str) -> String {
