--- a/crates/pooler/tests/registry.rs
+++ b/crates/pooler/tests/registry.rs
@@ -79,7 +79,7 @@
     /// drain grace or outside of the networks, no read is stale, and no write runs twice.
     fn assert_invariants_hold(&self) {
         let report = lock(&self.fleet.history).report();
-        assert_eq!((report.drain_violations, report.stale_reads, report.doubled_writes), (0, 0, 0));
+        assert_eq!((report.drain_violations, report.stale_reads, report.duplicate_writes), (0, 0, 0));
         assert_eq!((report.sends_outside_networks, report.answered), (0, report.requests));
     }
 }
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -184,7 +184,7 @@
         });
         let position_ms = response.position_ms(&id);
         if response.outcome == RequestOutcome::Served && position_ms.is_none() {
-            response.outcome = RequestOutcome::ForeignResponse;
+            response.outcome = RequestOutcome::MismatchedResponse;
         }
         let is_in_time = Instant::now() <= give_up_at + DEADLINE_TOLERANCE;
         if is_in_time && !matches!(response.outcome, RequestOutcome::Broken { .. }) {
--- a/crates/testbed/src/commands/failover.rs
+++ b/crates/testbed/src/commands/failover.rs
@@ -5,7 +5,7 @@
 use super::parallel::run_in_parallel;
 use super::rounded;
 use pooler_testbed::error::TestbedError;
-use pooler_testbed::failover::{FailoverCase, FailoverOutcome, WritesWithoutPrimary, play, quantile};
+use pooler_testbed::failover::{FailoverCase, FailoverOutcome, WritesWithoutPrimary, quantile, run_case};
 use pooler_testbed::model::{Bounds, CheckResult, check};
 use pooler_testbed::pooler_process::default_program;
 use serde_json::{Value, json};
@@ -51,11 +51,11 @@
     crash_not_reached: usize,
     writes: usize,
     /// Writes that ran more than once.
-    doubled: usize,
+    executed_repeatedly: usize,
     served_without_row: usize,
     rejected_with_row: usize,
     unanswered: usize,
-    late: usize,
+    answered_late: usize,
     failed: usize,
     /// Writes requested while there was no primary, in the crash cases.
     without_primary: WritesWithoutPrimary,
@@ -69,13 +69,13 @@
 impl Summary {
     fn add(&mut self, case: FailoverCase, outcome: &FailoverOutcome) {
         self.cases += 1;
-        self.crash_not_reached += usize::from(!outcome.happened);
+        self.crash_not_reached += usize::from(!outcome.change_began);
         self.writes += outcome.writes;
-        self.doubled += outcome.doubled;
+        self.executed_repeatedly += outcome.executed_repeatedly;
         self.served_without_row += outcome.served_without_row;
         self.rejected_with_row += outcome.rejected_with_row;
         self.unanswered += outcome.unanswered;
-        self.late += outcome.late;
+        self.answered_late += outcome.answered_late;
         self.failed += outcome.failed;
         if case == FailoverCase::Planned {
             self.planned_errors += outcome.writes - outcome.served();
@@ -84,27 +84,28 @@
             self.planned_delays.extend(during.map(|took| took.saturating_sub(median)));
         } else {
             self.without_primary.served += outcome.without_primary.served;
-            self.without_primary.asked += outcome.without_primary.asked;
+            self.without_primary.sent += outcome.without_primary.sent;
             self.handovers.extend(outcome.handover);
         }
     }
 
     fn has_passed(&self) -> bool {
-        let violations = self.doubled
+        let violations = self.executed_repeatedly
             + self.served_without_row
             + self.rejected_with_row
             + self.unanswered
-            + self.late
+            + self.answered_late
             + self.crash_not_reached;
         violations == 0
     }
 
     fn to_json(&self, model: &ModelResults) -> Value {
-        let WritesWithoutPrimary { served, asked } = self.without_primary;
-        let served_share = served as f64 / f64::max(asked as f64, 1.0);
+        let WritesWithoutPrimary { served, sent } = self.without_primary;
+        let served_share = served as f64 / f64::max(sent as f64, 1.0);
         json!({"cases": self.cases, "did_not_happen": self.crash_not_reached, "top_ups": self.writes,
-            "rows_doubled": self.doubled, "rows_lost": self.served_without_row, "unanswered": self.unanswered,
-            "answered_late": self.late, "served_without_row": self.served_without_row,
+            "rows_doubled": self.executed_repeatedly, "rows_lost": self.served_without_row,
+            "unanswered": self.unanswered, "answered_late": self.answered_late,
+            "served_without_row": self.served_without_row,
             "refused_with_row": self.rejected_with_row, "failed": self.failed,
             "planned_errors": self.planned_errors,
             "planned_added_p99_ms": quantile(&self.planned_delays, 0.99).as_millis() as u64,
@@ -123,16 +124,16 @@
          late {}  without primary {}/{}  handover {:>5} ms  {}{}",
         case.to_string(),
         outcome.writes,
-        outcome.doubled,
+        outcome.executed_repeatedly,
         outcome.served_without_row,
         outcome.rejected_with_row,
         outcome.unanswered,
-        outcome.late,
+        outcome.answered_late,
         outcome.without_primary.served,
-        outcome.without_primary.asked,
+        outcome.without_primary.sent,
         outcome.handover.unwrap_or_default().as_millis(),
         outcomes.collect::<Vec<_>>().join(", "),
-        if outcome.happened { "" } else { "  CRASH POINT NOT REACHED" }
+        if outcome.change_began { "" } else { "  CRASH POINT NOT REACHED" }
     );
     if let Some(log) = outcome.log.as_ref().filter(|_| with_log) {
         println!("    log: {}", log.join(" | "));
@@ -145,7 +146,7 @@
     cases.retain(|case| case.to_string().contains(&options.only));
     let cases = cases.repeat(options.times);
     let program = default_program();
-    let outcomes = run_in_parallel(&cases, options.max_parallel, |case| play(*case, &program));
+    let outcomes = run_in_parallel(&cases, options.max_parallel, |case| run_case(*case, &program));
     let mut summary = Summary::default();
     for (case, outcome) in cases.iter().zip(outcomes) {
         let outcome = outcome?;
--- a/crates/testbed/src/commands/registry_scenarios.rs
+++ b/crates/testbed/src/commands/registry_scenarios.rs
@@ -63,7 +63,7 @@
         let report = &self.report;
         let violations = report.drain_violations
             + report.stale_reads
-            + report.doubled_writes
+            + report.duplicate_writes
             + report.sends_outside_networks;
         self.not_run == 0 && self.missed == 0 && violations == 0
     }
@@ -73,10 +73,10 @@
         let share = |name: &str| self.served_shares.get(name).map(|share| rounded(*share));
         json!({"scripts": self.scenarios, "missed": self.missed, "seed": seed, "requests": report.requests,
             "answered": report.answered, "drains": report.drains, "drains_broken": report.drain_violations,
-            "stale_reads": report.stale_reads, "writes_doubled": report.doubled_writes,
+            "stale_reads": report.stale_reads, "writes_doubled": report.duplicate_writes,
             "served_without_row": report.served_without_row,
             "sends_outside_networks": report.sends_outside_networks,
-            "worst_drain_ms": report.worst_drain_ms.round(), "registry_away_s": OUTAGE_S,
+            "worst_drain_ms": report.max_send_after_drain_ms.round(), "registry_away_s": OUTAGE_S,
             "served_while_away": share(OUTAGE_SCENARIO),
             "served_beside_well_registry": share(BASELINE_SCENARIO)})
     }
@@ -89,10 +89,10 @@
          violated drains {}  stale reads {}  writes run twice {}  sends outside networks {}{}",
         report.requests,
         report.drains,
-        report.worst_drain_ms,
+        report.max_send_after_drain_ms,
         report.drain_violations,
         report.stale_reads,
-        report.doubled_writes,
+        report.duplicate_writes,
         report.sends_outside_networks,
         if missed.is_empty() { "" } else { "  EXPECTATIONS MISSED" }
     );
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -18,13 +18,13 @@
     },
     /// The pooler exited before it logged an expected line.
     #[error("the pooler exited with {status}; its log:\n{log}")]
-    PoolerEnded {
+    PoolerExited {
         /// The exit status of the pooler.
         status: ExitStatus,
         /// The complete log of the pooler.
         log: String,
     },
-    /// The pooler did not log an expected line within [`PATIENCE`](crate::PATIENCE).
+    /// The pooler did not log an expected line within [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT).
     #[error("the pooler logged no line containing '{text}'; its log:\n{log}")]
     NoLogLine {
         /// The text that the line must contain.
@@ -32,15 +32,15 @@
         /// The complete log of the pooler.
         log: String,
     },
-    /// The pooler did not exit within [`PATIENCE`](crate::PATIENCE).
+    /// The pooler did not exit within [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT).
     #[error("the pooler did not exit in time")]
-    PoolerDoesNotEnd,
-    /// A condition was not met within [`PATIENCE`](crate::PATIENCE).
+    PoolerDidNotExit,
+    /// A condition was not met within [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT).
     #[error("timed out waiting for: {0}")]
     TimedOut(&'static str),
-    /// The operating system does not report a figure of a process, such as its memory use.
+    /// The operating system does not report a statistic of a process, such as its memory use.
     #[error("cannot determine {0} of the process")]
-    NoProcessFigure(&'static str),
+    MissingProcessStatistic(&'static str),
     /// A scenario file cannot be read or parsed.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
--- a/crates/testbed/src/failover.rs
+++ b/crates/testbed/src/failover.rs
@@ -86,7 +86,7 @@
     /// Writes that were served.
     pub served: usize,
     /// All writes sent, served or not.
-    pub asked: usize,
+    pub sent: usize,
 }
 
 /// The result of a failover case. The counts concern all writes of the case unless they say otherwise.
@@ -94,11 +94,11 @@
 pub struct FailoverOutcome {
     /// Whether the change began: always for a planned one, otherwise only if the primary crashed at its
     /// crash point.
-    pub happened: bool,
+    pub change_began: bool,
     /// All writes sent.
     pub writes: usize,
     /// Writes that were executed more than once.
-    pub doubled: usize,
+    pub executed_repeatedly: usize,
     /// Writes answered as served whose row no replica has.
     pub served_without_row: usize,
     /// Writes answered as rejected whose row a replica has.
@@ -106,7 +106,7 @@
     /// Writes without a final response.
     pub unanswered: usize,
     /// Writes that took longer than the writers' deadline plus [`DEADLINE_TOLERANCE`].
-    pub late: usize,
+    pub answered_late: usize,
     /// Writes answered as failed, which promises nothing about whether they were executed.
     pub failed: usize,
     /// The writes sent while there was no primary that accepts writes.
@@ -145,11 +145,11 @@
         self.rejected_with_row += usize::from(write.outcome == RequestOutcome::Rejected && has_row);
         self.failed += usize::from(matches!(write.outcome, RequestOutcome::Failed { .. }));
         self.unanswered += usize::from(matches!(write.outcome, RequestOutcome::Broken { .. }));
-        self.late += usize::from(write.latency > WRITE_DEADLINE + DEADLINE_TOLERANCE);
+        self.answered_late += usize::from(write.latency > WRITE_DEADLINE + DEADLINE_TOLERANCE);
         let ended_at = write.sent_at + write.latency;
         if write.sent_at > change.began_at && write.sent_at < change.promoted_at {
             self.without_primary.served += usize::from(is_served);
-            self.without_primary.asked += 1;
+            self.without_primary.sent += 1;
             self.latencies_during.push(write.latency);
         }
         if ended_at < change.began_at {
@@ -261,14 +261,14 @@
 /// # Errors
 ///
 /// If the case can't be run. Faults of the pooler are no error, but counted in the outcome.
-pub fn play(case: FailoverCase, program: &Path) -> Result<FailoverOutcome, TestbedError> {
+pub fn run_case(case: FailoverCase, program: &Path) -> Result<FailoverOutcome, TestbedError> {
     let setup = Setup::start(program)?;
     let mut writers = Writers::new(setup.pooler.address, setup.history.clone());
     writers.start(WRITER_COUNT);
     std::thread::sleep(TRAFFIC_BEFORE_CHANGE);
 
     let began_at = setup.begin(case, &mut writers);
-    let mut outcome = FailoverOutcome { happened: began_at.is_some(), ..FailoverOutcome::default() };
+    let mut outcome = FailoverOutcome { change_began: began_at.is_some(), ..FailoverOutcome::default() };
     let began_at = began_at.unwrap_or_else(Instant::now);
     let takeover = if case == FailoverCase::Planned { TAKEOVER_AFTER_DRAIN } else { TAKEOVER_AFTER_CRASH };
     std::thread::sleep((began_at + takeover).saturating_duration_since(Instant::now()));
@@ -279,11 +279,11 @@
 
     let rows = setup.group.replicated_rows();
     outcome.writes = writes.len();
-    outcome.doubled = setup.group.writes_executed_repeatedly();
+    outcome.executed_repeatedly = setup.group.writes_executed_repeatedly();
     for write in &writes {
         outcome.add(write, rows.contains_key(&write.id), change);
     }
-    if outcome.without_primary.served < outcome.without_primary.asked {
+    if outcome.without_primary.served < outcome.without_primary.sent {
         outcome.log = Some(setup.pooler.log());
     }
     Ok(outcome)
--- a/crates/testbed/src/fake_registry/peer.rs
+++ b/crates/testbed/src/fake_registry/peer.rs
@@ -112,7 +112,7 @@
     }
 
     /// Selects the encoding of instance lists: XML if true, else JSON.
-    pub fn write_xml(&self, xml: bool) {
+    pub fn set_xml(&self, xml: bool) {
         lock(&self.config).writes_xml = xml;
     }
 
--- a/crates/testbed/src/fake_registry/registrations.rs
+++ b/crates/testbed/src/fake_registry/registrations.rs
@@ -157,7 +157,7 @@
 
     /// Drops all snapshots but the current one, so that even a peer with a long lag serves the current
     /// registrations until the next change.
-    pub fn forget_history(&self) {
+    pub fn discard_earlier_snapshots(&self) {
         let mut snapshots = lock(&self.snapshots);
         let last = snapshots.pop_back();
         snapshots.clear();
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -68,7 +68,7 @@
             let role = if id == INITIAL_PRIMARY_ID { ServerRole::Primary } else { ServerRole::Replica };
             fleet.add_server(&id, role)?;
         }
-        fleet.registrations.forget_history();
+        fleet.registrations.discard_earlier_snapshots();
         Ok(fleet)
     }
 
@@ -177,7 +177,7 @@
 
     fn clear_override(&self, id: &str) {
         if self.counts_cleared_override {
-            lock(&self.history).record_lifted_override(id);
+            lock(&self.history).record_cleared_override(id);
         }
         self.registrations.clear_override(id);
     }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -69,7 +69,7 @@
         reason: String,
     },
     /// The client received the response to another request.
-    ForeignResponse,
+    MismatchedResponse,
     /// The response holds neither a value nor an error.
     Empty,
 }
@@ -81,7 +81,7 @@
             Self::Rejected => write!(f, "rejected"),
             Self::Failed { sql_state } => write!(f, "failed {sql_state}"),
             Self::Broken { reason } => write!(f, "broken: {reason}"),
-            Self::ForeignResponse => write!(f, "another request's response"),
+            Self::MismatchedResponse => write!(f, "another request's response"),
             Self::Empty => write!(f, "empty"),
         }
     }
@@ -148,11 +148,11 @@
     /// Statements sent to an endpoint later than `DRAIN_GRACE` after its drain was reported.
     pub drain_violations: u64,
     /// The longest delay of a statement sent to a draining endpoint after the drain was reported, in ms.
-    pub worst_drain_ms: f64,
+    pub max_send_after_drain_ms: f64,
     /// Reads answered from older data than their request class allows.
     pub stale_reads: u64,
     /// Writes that ran more than once.
-    pub doubled_writes: u64,
+    pub duplicate_writes: u64,
     /// Writes that were reported as served to the client but never ran.
     pub served_without_row: u64,
     /// Connections to addresses outside the networks in which endpoints may be.
@@ -162,17 +162,17 @@
 }
 
 impl RuleReport {
-    /// Adds another history's report: sums the counters and keeps the greater `worst_drain_ms`. The other
-    /// report's `sends` are left out.
+    /// Adds another history's report: sums the counters and keeps the greater
+    /// `max_send_after_drain_ms`. The other report's `sends` are left out.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.answered += other.answered;
         self.served += other.served;
         self.drains += other.drains;
         self.drain_violations += other.drain_violations;
-        self.worst_drain_ms = self.worst_drain_ms.max(other.worst_drain_ms);
+        self.max_send_after_drain_ms = self.max_send_after_drain_ms.max(other.max_send_after_drain_ms);
         self.stale_reads += other.stale_reads;
-        self.doubled_writes += other.doubled_writes;
+        self.duplicate_writes += other.duplicate_writes;
         self.served_without_row += other.served_without_row;
         self.sends_outside_networks += other.sends_outside_networks;
     }
@@ -245,7 +245,7 @@
 
     /// Records that an endpoint's status override was cleared in a run whose operator's file lets this end a
     /// drain.
-    pub fn record_lifted_override(&mut self, endpoint: &str) {
+    pub fn record_cleared_override(&mut self, endpoint: &str) {
         self.cleared_overrides.insert(endpoint.to_owned());
     }
 
@@ -341,7 +341,7 @@
             answered: self.answered,
             served: self.served,
             stale_reads: self.stale_reads,
-            doubled_writes: self.executions.values().filter(|count| **count > 1).count() as u64,
+            duplicate_writes: self.executions.values().filter(|count| **count > 1).count() as u64,
             served_without_row: self.served_writes.iter().filter(|id| !has_run(id)).count() as u64,
             sends_outside_networks: self.outside_connections.values().sum(),
             sends: self.sends.iter().map(|(id, sends)| (id.clone(), sends.len() as u64)).collect(),
@@ -365,7 +365,8 @@
                 continue;
             }
             let delay = *sent_at - drain.reported_at;
-            report.worst_drain_ms = report.worst_drain_ms.max(delay.as_secs_f64() * 1_000.0);
+            report.max_send_after_drain_ms =
+                report.max_send_after_drain_ms.max(delay.as_secs_f64() * 1_000.0);
             report.drain_violations += u64::from(delay > DRAIN_GRACE);
         }
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -27,7 +27,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Timeout of waits for conditions and for the pooler process; it only keeps a broken run from hanging.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which a wait checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -40,12 +40,12 @@
 ///
 /// # Errors
 ///
-/// Returns [`error::TestbedError::TimedOut`] if the condition is not met within [`PATIENCE`].
+/// Returns [`error::TestbedError::TimedOut`] if the condition is not met within [`WAIT_TIMEOUT`].
 pub fn wait_until(
     condition: &'static str,
     mut is_met: impl FnMut() -> bool,
 ) -> Result<(), error::TestbedError> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         if is_met() {
             return Ok(());
--- a/crates/testbed/src/pooler_process.rs
+++ b/crates/testbed/src/pooler_process.rs
@@ -1,7 +1,7 @@
 //! Runs the pooler as a child process, with its files in a temporary folder of its own.
 
 use crate::error::TestbedError;
-use crate::{PATIENCE, POLL_INTERVAL, lock};
+use crate::{POLL_INTERVAL, WAIT_TIMEOUT, lock};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -109,14 +109,14 @@
     ///
     /// If no such line is logged in time, or the pooler ends first.
     pub fn wait_for_log(&mut self, text: &str) -> Result<String, TestbedError> {
-        let give_up_at = Instant::now() + PATIENCE;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < give_up_at {
             if let Some(line) = lock(&self.log).iter().find(|line| line.contains(text)) {
                 return Ok(line.clone());
             }
             if let Some(status) = self.child.try_wait()? {
                 std::thread::sleep(FINAL_LOG_WAIT);
-                return Err(TestbedError::PoolerEnded { status, log: self.log().join("\n") });
+                return Err(TestbedError::PoolerExited { status, log: self.log().join("\n") });
             }
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -151,14 +151,14 @@
     ///
     /// If the pooler does not end in time.
     pub fn wait(&mut self) -> Result<ExitStatus, TestbedError> {
-        let give_up_at = Instant::now() + PATIENCE;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < give_up_at {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        Err(TestbedError::PoolerDoesNotEnd)
+        Err(TestbedError::PoolerDidNotExit)
     }
 }
 
--- a/crates/testbed/src/registry_benchmark.rs
+++ b/crates/testbed/src/registry_benchmark.rs
@@ -37,7 +37,7 @@
     fn cpu_time(&self) -> Result<Duration, TestbedError> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.process_id))?;
         let ns = text.split_ascii_whitespace().next().and_then(|text| text.parse().ok());
-        ns.map(Duration::from_nanos).ok_or(TestbedError::NoProcessFigure("schedstat"))
+        ns.map(Duration::from_nanos).ok_or(TestbedError::MissingProcessStatistic("schedstat"))
     }
 
     /// A memory field of `/proc/<pid>/status`, in KB.
@@ -45,7 +45,7 @@
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.process_id))?;
         let line = text.lines().find_map(|line| line.strip_prefix(name));
         let kb = line.and_then(|line| line.split_ascii_whitespace().nth(1)?.parse().ok());
-        kb.ok_or(TestbedError::NoProcessFigure(name))
+        kb.ok_or(TestbedError::MissingProcessStatistic(name))
     }
 
     fn threads(&self) -> Result<usize, TestbedError> {
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -54,7 +54,7 @@
     if scenario.operator.contains("lifts: \"override\"") {
         fleet.count_cleared_overrides();
     }
-    fleet.peers.iter().for_each(|peer| peer.write_xml(scenario.xml));
+    fleet.peers.iter().for_each(|peer| peer.set_xml(scenario.xml));
     let operator = fleet.operator_config(&scenario.operator);
     let mut pooler = PoolerProcess::start_with_registry(program, &operator)?;
     let history = fleet.history.clone();
