--- a/crates/routing/src/router/attempt_plan.rs
+++ b/crates/routing/src/router/attempt_plan.rs
@@ -12,8 +12,8 @@
 const MIN_SECOND_ATTEMPT_DELAY: f64 = 0.3;
 /// The time that a read must have left to be dispatched, in mean deviations above the mean latency.
 const RESPONSE_TIME_DEVIATIONS: f64 = 3.0;
-/// The probability that the same time is required of a new read under severe overload. If it were required of
-/// all, no response would show that the overload has ended.
+/// The probability that a new read under severe overload must have that time left, too. If all new reads had
+/// to, no response would show that the overload has ended.
 const NEW_READ_CHECK_PROBABILITY: f64 = 0.8;
 
 /// The parameters with which an attempt is sent.
--- a/crates/routing/src/router/cluster_view.rs
+++ b/crates/routing/src/router/cluster_view.rs
@@ -98,8 +98,8 @@
     /// The slow-start tokens that this router has for an endpoint; each permits one attempt during warm-up.
     pub(super) fn slow_start_tokens(&self, endpoint: &Endpoint) -> f64 {
         let is_overloaded = self.overload.fleet_ratio(self.now, Role::Replica) > SEVERE_OVERLOAD;
-        let in_service = self.endpoints.active_count();
-        let capacity = self.throughput.capacity_per_endpoint(self.now, in_service, is_overloaded);
+        let active_count = self.endpoints.active_count();
+        let capacity = self.throughput.capacity_per_endpoint(self.now, active_count, is_overloaded);
         endpoint.warm_up.available_tokens(self.now, capacity, self.settings)
     }
 
--- a/crates/routing/src/router/concurrency.rs
+++ b/crates/routing/src/router/concurrency.rs
@@ -6,7 +6,7 @@
 
 use crate::{TimeDelta, Timestamp};
 
-/// The initial limit of an endpoint, which all routers share.
+/// The initial limit of an endpoint for all routers together.
 const INITIAL_LIMIT: f64 = 16.0;
 /// The lowest initial limit of one router.
 const MIN_INITIAL_LIMIT: f64 = 1.5;
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Whether an endpoint that works on so many attempts may be sent another one.
+    /// Whether the endpoint may be sent another attempt while it works on `work` attempts of this router.
     pub(super) fn has_room(&self, now: Timestamp, work: f64) -> bool {
         now >= self.backoff_until && work < self.limit
     }
 
-    /// Whether so many attempts are within a fraction of the limit.
+    /// Whether `work` attempts use at most this fraction of the limit.
     pub(super) fn is_within_fraction(&self, work: f64, fraction: f64) -> bool {
         work <= self.limit * fraction
     }
--- a/crates/routing/src/router/endpoint.rs
+++ b/crates/routing/src/router/endpoint.rs
@@ -98,8 +98,8 @@
         self.health_checked_at = now;
     }
 
-    /// Records that the endpoint has just started: its warm-up begins with so many slow-start tokens, and its
-    /// concurrency limit falls to the minimum.
+    /// Records that the endpoint has just started: its warm-up begins with `tokens` slow-start tokens, and
+    /// its concurrency limit falls to the minimum.
     pub(super) fn restart(&mut self, now: Timestamp, tokens: f64) {
         self.warm_up.restart(now, now, tokens);
         self.concurrency.reset();
--- a/crates/routing/src/router/endpoint_outcomes.rs
+++ b/crates/routing/src/router/endpoint_outcomes.rs
@@ -17,13 +17,13 @@
 pub(super) struct CompletedAttempt {
     /// The endpoint that the attempt or the health check was sent to.
     pub(super) endpoint: EndpointId,
-    /// How the attempt or the health check ended, after corrections by what else is known of the endpoint.
+    /// The outcome, corrected if responses to other attempts show that the endpoint was up.
     pub(super) outcome: AttemptOutcome,
     /// The time since the attempt or the health check was sent.
     pub(super) elapsed: TimeDelta,
     /// The attempt; `None` for a health check, or if the attempt is no longer known.
     pub(super) attempt: Option<InFlightAttempt>,
-    /// Whether the attempt was one of a write.
+    /// Whether the attempt was an attempt of a write; `false` for a health check.
     pub(super) is_write: bool,
 }
 
@@ -34,14 +34,15 @@
     /// The number of other attempts that the endpoint works on for this router.
     work: f64,
     slow_start_tokens: f64,
-    /// The attempt went unanswered for far too long while a later one was answered. It was lost, which is no
-    /// failure of the endpoint.
+    /// Whether the attempt is long overdue although one that was sent later succeeded. The attempt was lost,
+    /// which is no failure of the endpoint.
     was_overtaken: bool,
-    /// The endpoint responded to other attempts after this one was sent.
+    /// Whether the endpoint responded to other attempts after this one was sent.
     has_responded_meanwhile: bool,
     /// The usual latency of the attempt's class; `None` without an attempt.
     class_latency: Option<LatencyEstimate>,
-    /// The response was a rejection, or came later than an endpoint that is not overloaded responds.
+    /// Whether the response was a rejection, or took longer than [`TIMELY_FRACTION`] of the class's latency
+    /// objective.
     is_late: bool,
 }
 
--- a/crates/routing/src/router/endpoint_reports.rs
+++ b/crates/routing/src/router/endpoint_reports.rs
@@ -20,8 +20,8 @@
         let present = self.clock.to_fleet_time(now);
         let is_confirmed = self.clock.is_confirmed();
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
-        // The response to a write carries the position of its commit. Only a primary commits, so from a
-        // replica it is no position that the endpoint has applied.
+        // The response to a write carries the position of its commit. Only a primary commits, so a
+        // position in a replica's response to a write is none that the replica has applied.
         let applied = position.filter(|_| !is_write || is_primary);
         if let Some(position) = applied {
             endpoint.freshness.observe_response(now, position);
@@ -97,7 +97,7 @@
     fn on_clock_set_back(&mut self, now: Timestamp) {
         self.endpoints.cap_times(self.clock.to_fleet_time(now));
         self.endpoints.recompute_listed_starts(now, &self.clock);
-        self.log.set("the estimated fleet time was ahead and has been set back".to_owned());
+        self.log.set("the fleet clock was ahead and has been set back".to_owned());
     }
 
     /// Records that an endpoint was the primary at `at`, on the fleet clock. It becomes the believed primary
--- a/crates/routing/src/router/freshness/tests.rs
+++ b/crates/routing/src/router/freshness/tests.rs
@@ -30,7 +30,7 @@
     assert!(!may_serve(&freshness, 99));
     assert!(may_serve(&freshness, 100));
     freshness.record_rejected_read(NOW + ms(100), NOW);
-    assert!(!may_serve(&freshness, 1_099), "it rejected such a read less than 1 s ago");
+    assert!(!may_serve(&freshness, 1_099), "the endpoint rejected such a read less than 1 s ago");
     assert!(may_serve(&freshness, 1_100), "the rejection is 1 s old");
 }
 
--- a/crates/routing/src/router/in_flight.rs
+++ b/crates/routing/src/router/in_flight.rs
@@ -51,7 +51,7 @@
     /// For each abandoned attempt, when the endpoint should finish it by the usual latency.
     abandoned_until: Vec<Timestamp>,
     last_response_at: Timestamp,
-    /// When the attempt was sent that is the latest sent of the successful ones.
+    /// The latest time at which an attempt that succeeded was sent.
     latest_success_sent_at: Timestamp,
 }
 
--- a/crates/routing/src/router/in_flight/tests.rs
+++ b/crates/routing/src/router/in_flight/tests.rs
@@ -21,7 +21,7 @@
     assert!(!work.is_silent(NOW + TimeDelta::from_millis(600), &latency));
     assert!(work.is_silent(NOW + LONG_OVERDUE, &latency));
     work.record_response(NOW + TimeDelta::from_millis(1));
-    assert!(!work.is_silent(NOW + LONG_OVERDUE, &latency), "it has responded since");
+    assert!(!work.is_silent(NOW + LONG_OVERDUE, &latency), "the endpoint has responded since");
 }
 
 #[test]
@@ -32,13 +32,13 @@
     assert_eq!(
         work.outstanding_count(NOW + LONG_OVERDUE, &latency),
         0.0,
-        "no response came since it was sent"
+        "the endpoint has not responded since the attempt was sent"
     );
     work.record_response(NOW + TimeDelta::from_millis(1));
     assert_eq!(
         work.outstanding_count(NOW + LONG_OVERDUE, &latency),
         1.0,
-        "it may still be queued at the endpoint"
+        "the attempt may still be queued at the endpoint"
     );
     work.record_success(NOW + TimeDelta::from_millis(2));
     assert!(work.was_overtaken(&attempt(NOW), NOW + LONG_OVERDUE, &latency));
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -12,8 +12,8 @@
 //!   health checks.
 //! - `requests`, `queue`, `timers`: the pending and queued requests, and when each request is next checked.
 //!
-//! `cluster_view`, `load_balancing`, `load_shedding` and `attempt_plan` make decisions from several
-//! components and are read-only. Only the modules that implement methods of [`Router`] modify components,
+//! `cluster_view`, `load_balancing`, `load_shedding` and `attempt_plan` make decisions that depend on several
+//! components, and only read them. Only the modules that implement methods of [`Router`] modify components,
 //! through the methods of the components.
 
 mod attempt_completion;
@@ -76,7 +76,8 @@
     random: RandomSource,
     clock: FleetClock,
     endpoints: Endpoints,
-    /// Whether the first endpoint list was received. Only starts listed by later updates are recent.
+    /// Whether the first endpoint list was received. Starts in the first list may be long ago; a new start in
+    /// a later update is recent.
     has_endpoint_list: bool,
     requests: PendingRequests,
     queue_schedule: QueueSchedule,
--- a/crates/routing/src/router/overload.rs
+++ b/crates/routing/src/router/overload.rs
@@ -9,8 +9,8 @@
 pub(super) const SHEDDING_START: f64 = 0.35;
 /// Load shedding reaches its full extent at this overload ratio.
 pub(super) const SHEDDING_COMPLETE: f64 = 0.7;
-/// Above this overload ratio, new reads with too little time left are rejected and reads are kept off the
-/// primary. A threshold of 0.35 costs 0.02 of the service result.
+/// Above this overload ratio, new reads with too little time left are rejected and reads that replicas could
+/// serve are kept off the primary. A threshold of 0.35 would lower the service result by 0.02.
 pub(super) const SEVERE_OVERLOAD: f64 = 0.525;
 /// The time in which the weight of a response in the ratios decays by a factor of e.
 pub(super) const OVERLOAD_MEMORY: TimeDelta = TimeDelta::from_millis(3_000);
--- a/crates/routing/src/router/primary.rs
+++ b/crates/routing/src/router/primary.rs
@@ -40,8 +40,9 @@
         self.replica_at = self.replica_at.max(at);
     }
 
-    /// Records a response received just now that showed a replica. If the endpoint hung, the request was sent
-    /// long ago, but the response still takes precedence over an older load report.
+    /// Records a response received just now that showed a replica. The evidence is dated by its receipt: if
+    /// the endpoint hung, the request was sent long ago, but the response still takes precedence over an
+    /// older load report.
     pub(super) fn observe_replica_response(&mut self, present: Timestamp) {
         self.observe_replica(present - TimeDelta(1));
     }
@@ -58,7 +59,8 @@
 pub(super) struct GroupPrimary {
     /// The endpoint that writes are sent to.
     believed: Option<EndpointId>,
-    /// The attempts of a write have failed to find the primary; writes are queued until one is confirmed.
+    /// Whether the attempts of a write have failed to find the primary; writes are then queued until a
+    /// primary is confirmed.
     is_unknown: bool,
     search: PrimarySearch,
 }
--- a/crates/routing/src/router/retry_budget.rs
+++ b/crates/routing/src/router/retry_budget.rs
@@ -8,7 +8,7 @@
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// The largest number of retries or hedges that the budget holds.
 const MAX_RETRIES: f64 = 10.0;
-/// How much health checks may take off the service result.
+/// The largest amount by which health checks may lower the service result.
 const MAX_HEALTH_CHECK_COST: f64 = 0.02;
 /// The largest number of health checks that the budget holds.
 const MAX_HEALTH_CHECKS: f64 = 10.0;
@@ -55,8 +55,8 @@
 }
 
 impl HealthCheckBudget {
-    /// Records the arrival of a request, which adds to the budget. `health_check_cost` is how much one health
-    /// check per request takes off the service result.
+    /// Records the arrival of a request, which adds to the budget. `health_check_cost` is the amount by which
+    /// one health check per request lowers the service result.
     pub(super) fn deposit(&mut self, health_check_cost: f64) {
         let affordable = MAX_HEALTH_CHECK_COST / health_check_cost.max(f64::EPSILON);
         self.tokens = (self.tokens + affordable).min(MAX_HEALTH_CHECKS);
--- a/crates/routing/src/router/slow_start.rs
+++ b/crates/routing/src/router/slow_start.rs
@@ -67,8 +67,8 @@
 pub(super) struct RequestRate(f64);
 
 impl RequestRate {
-    /// The rate at which this router may send requests to a warming endpoint, where a warm one has `capacity`
-    /// and this one has `fraction` of it.
+    /// The rate at which this router may send requests to a warming endpoint, where `capacity` is that
+    /// of a warm endpoint and `fraction` the part of it that the warming endpoint has.
     fn of_warming_endpoint(capacity: Self, fraction: f64, settings: &Settings) -> Self {
         let window = settings.overload_window.0.max(1) as f64;
         let least = MIN_REQUESTS_PER_WINDOW / window / f64::from(settings.router_count);
@@ -94,8 +94,8 @@
     listed_start: Option<Timestamp>,
     /// The latest start, on the router's clock; `None` if the endpoint started long ago.
     started_at: Option<Timestamp>,
-    /// `started_at` is the time at which the list reported the start, because the fleet clock was not
-    /// confirmed.
+    /// Whether `started_at` is the time at which the list reported the start, because the fleet clock was not
+    /// confirmed then.
     is_start_provisional: bool,
     balance: TokenBalance,
 }
@@ -111,7 +111,8 @@
         fraction.clamp(floor.clamp(MIN_FRACTION, 1.0), 1.0)
     }
 
-    /// The slow-start tokens that this router has for the endpoint, where a warm endpoint has this capacity.
+    /// The slow-start tokens that this router has for the endpoint, where `capacity` is that of a warm
+    /// endpoint.
     pub(super) fn available_tokens(&self, now: Timestamp, capacity: RequestRate, settings: &Settings) -> f64 {
         // An endpoint fails if it is overloaded over a whole window, so its capacity at the start of the
         // window counts.
@@ -178,12 +179,13 @@
     }
 }
 
-/// A start of an endpoint by the endpoint list.
+/// A start of an endpoint, as the endpoint list reports it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedStart {
     /// The time of the start, on the fleet clock.
     pub(super) fleet_time: Timestamp,
-    /// The start was reported as a change of the list, not by the first update after the router started.
+    /// Whether the start was reported as a change of the list, not by the first update after the router
+    /// started.
     pub(super) is_recent: bool,
     /// The tokens of this router at the start, from 0 to 1. They are drawn at random, so that many routers,
     /// each with a share of less than one request, together send what the endpoint can take.
--- a/crates/routing/src/router/slow_start/tests.rs
+++ b/crates/routing/src/router/slow_start/tests.rs
@@ -71,6 +71,9 @@
     assert!(warm_up.observe_listed_start(NOW, start, &clock));
     assert_eq!(warm_up.capacity_fraction(NOW, &settings), 0.25);
     clock.observe_primary_position(NOW, NOW, TimeDelta::ZERO);
-    assert!(!warm_up.recompute_listed_start(NOW, &clock), "it is the same start with another time");
+    assert!(
+        !warm_up.recompute_listed_start(NOW, &clock),
+        "the same start with a corrected time is no new start"
+    );
     assert_eq!(warm_up.capacity_fraction(NOW, &settings), 0.625);
 }
--- a/crates/routing/tests/router/fleet_clock.rs
+++ b/crates/routing/tests/router/fleet_clock.rs
@@ -20,9 +20,9 @@
         let sent = send_bounded_reads(&mut host, 40);
         assert!(
             !sent.contains(&endpoint_id(2)),
-            "{behind}: its data is {behind} ms old, where 1,000 ms are allowed"
+            "clock {behind} ms behind: the data of endpoint 2 is {behind} ms old, 1,000 ms are allowed"
         );
-        assert!(sent.contains(&endpoint_id(3)), "{behind}: its data is fresh");
+        assert!(sent.contains(&endpoint_id(3)), "clock {behind} ms behind: the data of endpoint 3 is fresh");
     }
 }
 
@@ -38,8 +38,8 @@
         host.complete_health_check(2, Role::Replica, ahead + 20);
         host.complete_health_check(3, Role::Replica, ahead + 1_500);
         let sent = send_bounded_reads(&mut host, 40);
-        assert!(sent.contains(&endpoint_id(2)), "{ahead}: its data is fresh");
-        assert!(!sent.contains(&endpoint_id(3)), "{ahead}: its data is older than 1,000 ms");
+        assert!(sent.contains(&endpoint_id(2)), "clock {ahead} ms ahead: the data of endpoint 2 is fresh");
+        assert!(!sent.contains(&endpoint_id(3)), "clock {ahead} ms ahead: the data of endpoint 3 is too old");
     }
 }
 
@@ -56,7 +56,7 @@
         host.complete_at_position(id, 1, host.now - TimeDelta::from_millis(behind));
         assert!(
             !send_bounded_reads(&mut host, 40).contains(&endpoint_id(2)),
-            "{behind}: its data is 5 s old"
+            "commit dated {behind} ms ago: the data of endpoint 2 is 5 s old"
         );
     }
 }
@@ -82,7 +82,7 @@
     host.complete_health_check(2, Role::Primary, HOUR_MS);
     assert!(
         !send_bounded_reads(&mut host, 40).contains(&endpoint_id(1)),
-        "its last known position is over 5 s old"
+        "the last known position of endpoint 1 is over 5 s old"
     );
 }
 
@@ -116,7 +116,7 @@
 fn a_restarted_endpoint_is_cold_whatever_the_error_of_the_clock() {
     for ago in [0, 30_000, HOUR_MS, -HOUR_MS] {
         let burst = sends_to_a_restarted_endpoint(ago, 0);
-        assert!(burst <= 2, "{ago}: {burst} requests sent at once to an endpoint that has just restarted");
+        assert!(burst <= 2, "restart dated {ago} ms ago: {burst} requests sent at once to the endpoint");
     }
 }
 
@@ -124,7 +124,7 @@
 fn a_restarted_endpoint_is_warm_after_the_slow_start_window_whatever_the_error_of_the_clock() {
     for ago in [0, 30_000, HOUR_MS, -HOUR_MS] {
         let sent = sends_to_a_restarted_endpoint(ago, 10_500);
-        assert!(sent >= 30, "{ago}: {sent} requests sent to an endpoint that has been warm for 0.5 s");
+        assert!(sent >= 30, "restart dated {ago} ms ago: {sent} requests sent to the warm endpoint");
     }
 }
 
--- a/crates/routing/tests/router/freshness.rs
+++ b/crates/routing/tests/router/freshness.rs
@@ -20,7 +20,7 @@
     }));
     host.advance(800);
     let (_, actions) = host.request(BOUNDED_READ);
-    assert!(sent_to(&actions).is_empty(), "its data is 1.2 s old where 1 s is allowed");
+    assert!(sent_to(&actions).is_empty(), "the data of endpoint 1 is 1.2 s old, 1 s is allowed");
 }
 
 #[test]
@@ -61,7 +61,7 @@
     host.advance_clock(390);
     assert!(
         host.router.still_eligible(host.now, read, &endpoint_id(2)),
-        "990 ms old, where 1,000 ms are allowed"
+        "the data of endpoint 2 is 990 ms old, 1,000 ms are allowed"
     );
     host.advance_clock(20);
     assert!(!host.router.still_eligible(host.now, read, &endpoint_id(2)));
--- a/crates/routing/tests/router/health_checks.rs
+++ b/crates/routing/tests/router/health_checks.rs
@@ -27,7 +27,7 @@
     assert_eq!(sorted(health_checked(&host.request_in_session(SESSION_READ, 7).1)), all);
     host.complete_health_check(3, Role::Replica, 20);
     let session = sent_to(&host.request_in_session(SESSION_READ, 7).1);
-    assert_eq!(session, [endpoint_id(3)], "known to have applied the write");
+    assert_eq!(session, [endpoint_id(3)], "only endpoint 3 is known to have applied the write");
     let (_, bounded) = host.request(BOUNDED_READ);
     assert!(health_checked(&bounded).is_empty(), "all replicas are eligible for bounded reads");
 }
--- a/crates/routing/tests/router/outlier_ejection.rs
+++ b/crates/routing/tests/router/outlier_ejection.rs
@@ -16,7 +16,7 @@
             actions = host.complete_attempt(id, attempt, number, AttemptOutcome::Error);
             attempt += 1;
         }
-        assert!(attempt <= 2, "{attempt} attempts for a request that is itself at fault");
+        assert!(attempt <= 2, "{attempt} attempts for a request that fails at every endpoint");
         assert!(rejection(&actions, id).is_some());
     }
     let used: BTreeSet<EndpointId> = (0..40).flat_map(|_| sent_to(&host.request(EVENTUAL_READ).1)).collect();
--- a/crates/routing/tests/router/primary.rs
+++ b/crates/routing/tests/router/primary.rs
@@ -18,7 +18,7 @@
     let (id, actions) = host.request(PLAIN_WRITE);
     assert_eq!(sent_to(&actions), [endpoint_id(1)]);
     let actions = host.complete_attempt(id, 0, 1, AttemptOutcome::ConnectionLostBeforeSend);
-    assert_eq!(sent_to(&actions), [endpoint_id(1)], "retried there at once");
+    assert_eq!(sent_to(&actions), [endpoint_id(1)], "the write is retried at endpoint 1 at once");
     host.complete_attempt_as(id, 1, 1, AttemptOutcome::Ok, Role::Primary);
     // The primary does not count as cold: a burst of writes is sent.
     let burst: Vec<_> = (0..3).map(|_| host.request(PLAIN_WRITE).1).collect();
@@ -128,7 +128,10 @@
     host.list_as_primary(3);
     let (_, actions) = host.request(STRONG_READ);
     assert_eq!(health_checked(&actions), [endpoint_id(3)]);
-    assert!(health_checked(&host.advance(240)).is_empty(), "the router waits for its response");
+    assert!(
+        health_checked(&host.advance(240)).is_empty(),
+        "the router waits for the response of the listed primary"
+    );
     host.advance_clock(10);
     assert_eq!(
         health_checked(&host.request(STRONG_READ).1).len(),
--- a/crates/routing/tests/router/slow_start.rs
+++ b/crates/routing/tests/router/slow_start.rs
@@ -31,8 +31,8 @@
 
 #[test]
 fn an_endpoint_that_refused_a_connection_is_cold_when_it_returns() {
-    // Guards against the permanent overload of endpoints that return from a restart that no update announced.
-    // And against the opposite: an endpoint that was only unreachable for a while is not cold, and was
+    // Guards against the permanent overload of endpoints that return from a restart that no update announced,
+    // and against the opposite fault: an endpoint that was only unreachable for a while, and is not cold, was
     // treated as cold for 16 s.
     for (outcome, is_cold) in [
         (AttemptOutcome::Ok, false),
@@ -112,7 +112,8 @@
     host.set_started_at(2, host.now);
     host.set_lifecycle(1, Lifecycle::Draining);
     let sent = serve(&mut host, 50, 40);
-    // In 2 s, three times a fifth to a third of an endpoint's ten requests a second, and some more.
+    // The budget for 2 s: three times a fifth to a third of the throughput of ten requests a second, and a
+    // small margin.
     assert!((10..=21).contains(&sent), "{sent} requests sent");
 }
 
