--- a/crates/routing/tests/router/fleet_clock.rs
+++ b/crates/routing/tests/router/fleet_clock.rs
@@ -39,7 +39,10 @@
         host.complete_health_check(3, Role::Replica, ahead + 1_500);
         let sent = send_bounded_reads(&mut host, 40);
         assert!(sent.contains(&endpoint_id(2)), "clock {ahead} ms ahead: the data of endpoint 2 is fresh");
-        assert!(!sent.contains(&endpoint_id(3)), "clock {ahead} ms ahead: the data of endpoint 3 is too old");
+        assert!(
+            !sent.contains(&endpoint_id(3)),
+            "clock {ahead} ms ahead: the data of endpoint 3 is over 1,000 ms old"
+        );
     }
 }
 
@@ -124,7 +127,10 @@
 fn a_restarted_endpoint_is_warm_after_the_slow_start_window_whatever_the_error_of_the_clock() {
     for ago in [0, 30_000, HOUR_MS, -HOUR_MS] {
         let sent = sends_to_a_restarted_endpoint(ago, 10_500);
-        assert!(sent >= 30, "restart dated {ago} ms ago: {sent} requests sent to the warm endpoint");
+        assert!(
+            sent >= 30,
+            "restart dated {ago} ms ago: {sent} requests sent to an endpoint that has been warm for 0.5 s"
+        );
     }
 }
 
--- a/crates/routing/tests/router/support.rs
+++ b/crates/routing/tests/router/support.rs
@@ -260,7 +260,7 @@
         }))
     }
 
-    /// Advances the clock, then completes an attempt successfully with that elapsed time.
+    /// Advances the clock by `ms`, then completes an attempt successfully with this elapsed time.
     pub fn respond_after(&mut self, id: RequestId, attempt: u32, endpoint: usize, ms: i64) -> Vec<Action> {
         self.advance_clock(ms);
         self.report(Event::AttemptCompleted(AttemptCompletion {
