--- a/crates/routing/src/settings/decode.rs
+++ b/crates/routing/src/settings/decode.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// The largest number that a setting may have. As a time in milliseconds, it is over 30,000 years.
-const MAX_AMOUNT: f64 = 1e15;
+const MAX_NUMBER: f64 = 1e15;
 
 type Result<T> = std::result::Result<T, SettingsError>;
 
@@ -134,7 +134,7 @@
     /// If the setting is missing, or its value is not a number in this range.
     pub fn non_negative_number(&self, key: &str) -> Result<f64> {
         let value = self.number(key)?;
-        if (0.0..=MAX_AMOUNT).contains(&value) {
+        if (0.0..=MAX_NUMBER).contains(&value) {
             return Ok(value);
         }
         Err(SettingsError::OutOfRange { key: key.to_owned(), value: value.to_string() })
--- a/crates/service-registry/src/eureka/lease.rs
+++ b/crates/service-registry/src/eureka/lease.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records the outcome of a request and schedules the next one.
-    pub fn record_response(&mut self, now: Timestamp, request: LeaseRequest, outcome: LeaseOutcome) {
+    pub fn record_outcome(&mut self, now: Timestamp, request: LeaseRequest, outcome: LeaseOutcome) {
         match (request, outcome) {
             (LeaseRequest::Register(status) | LeaseRequest::Renew(status), LeaseOutcome::Accepted) => {
                 self.registered_status = Some(status);
--- a/crates/service-registry/src/registrar.rs
+++ b/crates/service-registry/src/registrar.rs
@@ -62,8 +62,8 @@
                         LeaseOutcome::Failed
                     };
                     let outcome = or(sent, interrupted).await;
-                    lease.record_response(self.sink.now(), request, outcome);
-                    self.count_response(outcome);
+                    lease.record_outcome(self.sink.now(), request, outcome);
+                    self.count_outcome(outcome);
                     if outcome == LeaseOutcome::Failed {
                         server_index = (server_index + 1) % self.servers.len();
                     }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn count_response(&self, outcome: LeaseOutcome) {
+    fn count_outcome(&self, outcome: LeaseOutcome) {
         increment(match outcome {
             LeaseOutcome::Accepted => &self.counters.lease_requests_accepted,
             LeaseOutcome::NotRegistered | LeaseOutcome::Failed => &self.counters.lease_requests_failed,
--- a/crates/service-registry/tests/timing.rs
+++ b/crates/service-registry/tests/timing.rs
@@ -130,33 +130,33 @@
     let mut lease = RegistrationLease::new(TimeDelta::from_millis(30_000), START);
     let first = lease.last_dirty_ms();
     assert_eq!(lease.due_request(START), Some(LeaseRequest::Register(InstanceStatus::Starting)));
-    lease.record_response(START, LeaseRequest::Register(InstanceStatus::Starting), LeaseOutcome::Accepted);
+    lease.record_outcome(START, LeaseRequest::Register(InstanceStatus::Starting), LeaseOutcome::Accepted);
     lease.set_status(at(100), Some(InstanceStatus::Up));
     assert_eq!(lease.due_request(at(100)), Some(LeaseRequest::Register(InstanceStatus::Up)));
     assert!(lease.last_dirty_ms() > first, "a status change advances lastDirtyTimestamp");
-    lease.record_response(at(100), LeaseRequest::Register(InstanceStatus::Up), LeaseOutcome::Accepted);
+    lease.record_outcome(at(100), LeaseRequest::Register(InstanceStatus::Up), LeaseOutcome::Accepted);
     assert_eq!(
         (lease.due_request(at(30_099)), lease.due_request(at(30_100))),
         (None, Some(LeaseRequest::Renew(InstanceStatus::Up)))
     );
     // A registry that has lost the registration gets a new one with a later `lastDirtyTimestamp`.
     let before = lease.last_dirty_ms();
-    lease.record_response(at(30_100), LeaseRequest::Renew(InstanceStatus::Up), LeaseOutcome::NotRegistered);
+    lease.record_outcome(at(30_100), LeaseRequest::Renew(InstanceStatus::Up), LeaseOutcome::NotRegistered);
     assert_eq!(lease.due_request(at(30_100)), Some(LeaseRequest::Register(InstanceStatus::Up)));
     assert!(lease.last_dirty_ms() > before);
     // Retries of failed requests back off, but a drain is announced at once.
     let mut now = at(30_100);
     for delay in [1_000, 2_000, 4_000, 8_000, 16_000, 30_000, 30_000] {
-        lease.record_response(now, LeaseRequest::Register(InstanceStatus::Up), LeaseOutcome::Failed);
+        lease.record_outcome(now, LeaseRequest::Register(InstanceStatus::Up), LeaseOutcome::Failed);
         assert_eq!(lease.next_request_at(), Some(now + TimeDelta::from_millis(delay)));
         now = now + TimeDelta::from_millis(delay);
     }
     lease.set_status(now, Some(InstanceStatus::OutOfService));
     assert_eq!(lease.due_request(now), Some(LeaseRequest::Register(InstanceStatus::OutOfService)));
-    lease.record_response(now, LeaseRequest::Register(InstanceStatus::OutOfService), LeaseOutcome::Accepted);
+    lease.record_outcome(now, LeaseRequest::Register(InstanceStatus::OutOfService), LeaseOutcome::Accepted);
     lease.set_status(now, None);
     assert_eq!(lease.due_request(now), Some(LeaseRequest::Cancel));
-    lease.record_response(now, LeaseRequest::Cancel, LeaseOutcome::NotRegistered);
+    lease.record_outcome(now, LeaseRequest::Cancel, LeaseOutcome::NotRegistered);
     assert_eq!((lease.due_request(now), lease.next_request_at()), (None, None), "no further request is due");
 }
 
