--- a/crates/routing/src/membership/claim.rs
+++ b/crates/routing/src/membership/claim.rs
@@ -116,7 +116,8 @@
 }
 
 impl HeldClaim {
-    /// Decides on `claim`, which came with the snapshot of this version, or with a delta if that is `None`.
+    /// Decides on a new claim. `snapshot_version` is the version of the snapshot that contains the claim;
+    /// `None` if a delta contains it.
     pub(super) fn decide(&self, claim: &EndpointClaim, snapshot_version: Option<i64>) -> ClaimDecision {
         let order = claim.version.compare(&self.claim.version);
         let severity_order = severity(claim.lifecycle).cmp(&severity(self.claim.lifecycle));
@@ -124,7 +125,7 @@
             VersionOrder::Newer => true,
             // Within one registration, the state may only become more severe, unless the endpoint was removed
             // only by its absence from a snapshot.
-            VersionOrder::Same => severity_order.is_ge() || self.is_named_again_by(snapshot_version),
+            VersionOrder::Same => severity_order.is_ge() || self.reappears_in_snapshot(snapshot_version),
             VersionOrder::Older => false,
         };
         if !supersedes {
@@ -140,7 +141,8 @@
         }
     }
 
-    fn is_named_again_by(&self, snapshot_version: Option<i64>) -> bool {
+    /// Whether the endpoint was removed by its absence from a snapshot older than `snapshot_version`.
+    fn reappears_in_snapshot(&self, snapshot_version: Option<i64>) -> bool {
         self.absent_from_version
             .zip(snapshot_version)
             .is_some_and(|(absent_from_version, version)| version > absent_from_version)
--- a/crates/routing/src/membership/table.rs
+++ b/crates/routing/src/membership/table.rs
@@ -124,7 +124,8 @@
         coverage
     }
 
-    /// Merges one claim from the snapshot of this version, or from a delta if that is `None`.
+    /// Merges one claim. `snapshot_version` is the version of the snapshot that contains the claim; `None` if
+    /// a delta contains it.
     fn merge_claim(
         &mut self,
         merge: &mut Merge<'_>,
--- a/crates/routing/src/settings/decode.rs
+++ b/crates/routing/src/settings/decode.rs
@@ -253,7 +253,7 @@
         "strong" => Consistency::Strong,
         "lag_bound" => {
             let bound = staleness_bound.and_then(|text| text.parse().ok());
-            let bound = bound.ok_or(SettingsError::Unreadable("FamilyInfo.OldestData"))?;
+            let bound = bound.ok_or(SettingsError::InvalidStalenessBound("FamilyInfo.OldestData"))?;
             Consistency::BoundedStaleness(duration_from_millis(bound))
         }
         other => return Err(unknown_word("FamilyInfo.NeedsByClass", other)),
--- a/crates/routing/src/settings/error.rs
+++ b/crates/routing/src/settings/error.rs
@@ -46,7 +46,7 @@
     ListTooShort(&'static str),
     /// The staleness bound of a request class is missing or not a number.
     #[error("setting {0}: the staleness bound of a request class is missing or not a number")]
-    Unreadable(&'static str),
+    InvalidStalenessBound(&'static str),
     /// Two request classes have the same name.
     #[error("two classes are named '{0}'")]
     DuplicateClass(String),
--- a/crates/routing/src/settings/mod.rs
+++ b/crates/routing/src/settings/mod.rs
@@ -167,14 +167,14 @@
     pub max_retry_after: TimeDelta,
     /// The time for which an endpoint may still be sent new work after it was listed as draining or removed.
     pub drain_grace: TimeDelta,
-    /// Whether only endpoints that were seen draining are subject to the drain rule. If so, endpoints that
-    /// were removed without a drain may still be used.
+    /// Whether new work is forbidden only for endpoints that were seen draining. If so, endpoints that were
+    /// removed without a drain may still be used.
     pub soft_removal: bool,
-    /// The fraction of its full capacity that an endpoint has at least when it starts.
+    /// The minimum capacity of an endpoint that has just started, as a fraction of its full capacity.
     pub slow_start_floor: f64,
     /// The time that an endpoint takes to warm up after its start.
     pub slow_start_window: TimeDelta,
-    /// The multiple of its capacity above which a warming endpoint fails if it is sent more than that for
+    /// A warming endpoint fails if it is sent more than this multiple of its capacity for
     /// [`Self::overload_window`].
     pub overload_multiple: f64,
     /// The time for which a warming endpoint withstands overload.
--- a/crates/service-registry/src/eureka/body/json.rs
+++ b/crates/service-registry/src/eureka/body/json.rs
@@ -39,7 +39,7 @@
     Array,
 }
 
-/// A scanner that keeps its state between two bytes of a body.
+/// An incremental scanner: a body may be split after any byte.
 #[derive(Debug, Default)]
 pub(super) struct JsonScanner {
     state: State,
--- a/crates/service-registry/src/eureka/body/xml.rs
+++ b/crates/service-registry/src/eureka/body/xml.rs
@@ -33,7 +33,7 @@
     depth: usize,
 }
 
-/// A scanner that keeps its state between two bytes of a body.
+/// An incremental scanner: a body may be split after any byte.
 #[derive(Debug, Default)]
 pub(super) struct XmlScanner {
     state: State,
--- a/crates/service-registry/src/eureka/lease.rs
+++ b/crates/service-registry/src/eureka/lease.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct RegistrationLease {
     renewal_interval: TimeDelta,
-    /// The status to register; `None` once the pooler has ended.
+    /// The status to register; `None` if the registration is to be cancelled.
     desired_status: Option<InstanceStatus>,
     /// The status that the registry accepted last; `None` while it holds no registration.
     registered_status: Option<InstanceStatus>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sets the pooler's status; `None` once the pooler has ended. A request for a changed status is due at
+    /// Sets the status to register; `None` cancels the registration. A request for a changed status is due at
     /// once, even during the backoff after a failure.
     pub fn set_status(&mut self, now: Timestamp, status: Option<InstanceStatus>) {
         if self.desired_status != status {
@@ -80,8 +80,7 @@
         self.last_dirty_ms
     }
 
-    /// When the next request is due; `None` once the pooler has ended and the registry holds no registration
-    /// of it.
+    /// When the next request is due; `None` if there is no status to register and no registration to cancel.
     #[must_use]
     pub fn next_request_at(&self) -> Option<Timestamp> {
         let needs_requests = self.desired_status.is_some() || self.registered_status.is_some();
--- a/crates/service-registry/src/eureka/mapping.rs
+++ b/crates/service-registry/src/eureka/mapping.rs
@@ -1,6 +1,6 @@
-//! Maps an instance to the claim of an endpoint, as the operator's configuration says: which applications
-//! hold endpoints, in which networks endpoints may lie, and which metadata keys hold group, zone, role and
-//! start time. Performs no I/O.
+//! Maps an instance to the claim of an endpoint. The operator configures which applications hold endpoints,
+//! in which networks endpoints may lie, and which metadata keys hold group, zone, role and start time.
+//! Performs no I/O.
 
 use super::instance::{ActionType, Instance, InstanceStatus};
 use super::networks::Networks;
--- a/crates/service-registry/src/eureka/poll_schedule.rs
+++ b/crates/service-registry/src/eureka/poll_schedule.rs
@@ -87,8 +87,8 @@
     snapshot_due_at: Option<Timestamp>,
     /// The number of inconsistent deltas since the last consistent one.
     consecutive_mismatches: u32,
-    /// Whether only snapshots are fetched: deltas are disabled, or the current server does not support them.
-    server_lacks_deltas: bool,
+    /// Whether deltas are disabled, or not supported by the current server.
+    snapshots_only: bool,
 }
 
 impl PollSchedule {
@@ -104,7 +104,7 @@
             next_poll_at: now,
             snapshot_due_at: Some(now),
             consecutive_mismatches: 0,
-            server_lacks_deltas: !settings.use_deltas,
+            snapshots_only: !settings.use_deltas,
         }
     }
 
@@ -121,7 +121,7 @@
     /// The poll that is due at `now`.
     #[must_use]
     pub fn next_poll(&self, now: Timestamp) -> Poll {
-        let needs_snapshot = self.server_lacks_deltas || self.snapshot_due_at.is_some_and(|due| due <= now);
+        let needs_snapshot = self.snapshots_only || self.snapshot_due_at.is_some_and(|due| due <= now);
         let fetch = if needs_snapshot { FetchKind::Snapshot } else { FetchKind::Delta };
         Poll { server: self.server, fetch }
     }
@@ -160,7 +160,7 @@
     pub fn record_failure(&mut self, now: Timestamp, fetch: FetchKind, failure: PollFailure) {
         if fetch == FetchKind::Delta && failure.is_unsupported() {
             // The server does not support deltas. That does not count as a failure of the server.
-            self.server_lacks_deltas = true;
+            self.snapshots_only = true;
             self.snapshot_due_at = Some(now);
             return;
         }
@@ -185,7 +185,7 @@
         let next = next.unwrap_or(0);
         if next != self.server {
             self.server = next;
-            self.server_lacks_deltas = !self.settings.use_deltas;
+            self.snapshots_only = !self.settings.use_deltas;
         }
     }
 
--- a/crates/service-registry/src/registrar.rs
+++ b/crates/service-registry/src/registrar.rs
@@ -1,4 +1,4 @@
-//! Registers the pooler with the registry, renews its lease, and cancels the registration at the end.
+//! Registers the pooler with the registry, renews its lease, and cancels the registration on demand.
 
 use crate::client::{ApiRequest, CallError, Client, DiscardBody, RegistryServer, SetupError};
 use crate::config::{RegistryConfig, SelfRegistration};
