--- a/crates/service-registry/src/registrar.rs
+++ b/crates/service-registry/src/registrar.rs
@@ -1,4 +1,4 @@
-//! Registers the pooler with the registry, renews its lease, and cancels the registration at the end.
+//! Registers the pooler with the registry, renews its lease, and cancels the registration on demand.
 
 use crate::client::{ApiRequest, CallError, Client, DiscardBody, RegistryServer, SetupError};
 use crate::config::{RegistryConfig, SelfRegistration};
@@ -62,8 +62,8 @@
                         LeaseOutcome::Failed
                     };
                     let outcome = or(sent, interrupted).await;
-                    lease.record_response(self.sink.now(), request, outcome);
-                    self.count_response(outcome);
+                    lease.record_outcome(self.sink.now(), request, outcome);
+                    self.count_outcome(outcome);
                     if outcome == LeaseOutcome::Failed {
                         server_index = (server_index + 1) % self.servers.len();
                     }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn count_response(&self, outcome: LeaseOutcome) {
+    fn count_outcome(&self, outcome: LeaseOutcome) {
         increment(match outcome {
             LeaseOutcome::Accepted => &self.counters.lease_requests_accepted,
             LeaseOutcome::NotRegistered | LeaseOutcome::Failed => &self.counters.lease_requests_failed,
