--- a/crates/proxy/src/client/read_ahead.rs
+++ b/crates/proxy/src/client/read_ahead.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(crate) struct ReadAheadBudget {
     large_buffers: Cell<usize>,
-    /// The buffer into which bytes are read that are discarded.
+    /// The buffer for bytes that are read only to be discarded.
     scratch: RefCell<Vec<u8>>,
 }
 
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -29,7 +29,7 @@
     Settings(#[from] SettingsError),
     /// The process may open fewer file descriptors than a pooler requires.
     #[error("configuration: limits.sockets is {configured}, but at least {required} are required")]
-    TooFewSockets {
+    TooFewDescriptors {
         /// The configured number of file descriptors.
         configured: usize,
         /// The least number of file descriptors that a pooler requires.
@@ -50,7 +50,7 @@
             Self::Read { .. } => true,
             Self::Json(error) => error.is_eof() || error.is_syntax(),
             Self::InFile { error, .. } => error.is_transient(),
-            Self::Settings(_) | Self::TooFewSockets { .. } | Self::Seed(_) => false,
+            Self::Settings(_) | Self::TooFewDescriptors { .. } | Self::Seed(_) => false,
         }
     }
 }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// When the text is not of the form that `DEPLOY` describes, or a setting is missing or invalid.
+    /// When the text is not JSON of the expected structure, or a setting is missing or invalid.
     pub fn decode(text: &str) -> Result<Self, ConfigError> {
         let document: ConfigDocument = serde_json::from_str(text)?;
         let map = SettingsMap::from_json(&document.settings);
@@ -79,7 +79,7 @@
         let seed = document.seed()?;
         let max_descriptors = document.limits.sockets;
         if max_descriptors < MIN_DESCRIPTORS {
-            return Err(ConfigError::TooFewSockets {
+            return Err(ConfigError::TooFewDescriptors {
                 configured: max_descriptors,
                 required: MIN_DESCRIPTORS,
             });
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -45,7 +45,8 @@
     pub server_connections_opened: Counter,
     /// Idle server connections closed because they failed validation before reuse.
     pub failed_validations: Counter,
-    /// Waits of a connection for file descriptors, ports or memory of this machine, or for the pool's limit.
+    /// Waits, before a connection was accepted or opened, for file descriptors, ports or memory of this
+    /// machine, or for the pool's connection limit.
     pub resource_waits: Counter,
     /// Health checks sent.
     pub health_checks: Counter,
--- a/crates/proxy/src/protocol/statement.rs
+++ b/crates/proxy/src/protocol/statement.rs
@@ -116,7 +116,7 @@
                 comment_key::LAST_WRITE => fields.last_write.replace(value).is_some(),
                 _ => false,
             };
-            // A server might use the other one of two values.
+            // Rejected because a server might use a different one of the values than the pooler.
             if is_repeated {
                 return Err(MALFORMED_COMMENT);
             }
--- a/crates/proxy/src/request/final_response.rs
+++ b/crates/proxy/src/request/final_response.rs
@@ -7,8 +7,8 @@
 pub enum FinalResponse<R> {
     /// The request was served; holds the endpoint's response.
     Served(R),
-    /// The request was rejected: it did not run, and a retry is safe. Holds the retry-after delay, if clients
-    /// are told.
+    /// The request was rejected: it did not run, and a retry is safe. Holds the retry-after delay;
+    /// `None` if clients are given none.
     Rejected(Option<TimeDelta>),
     /// The request failed; it may or may not have run.
     Failed {
--- a/crates/proxy/src/router_handle.rs
+++ b/crates/proxy/src/router_handle.rs
@@ -15,7 +15,8 @@
 
 /// If a timer fires more than this after it was due, the process is taken to have been suspended.
 const SUSPENSION_THRESHOLD: TimeDelta = TimeDelta::from_millis(5);
-/// Long enough for the reactor to poll once and wake the tasks whose sockets are ready.
+/// The delay of a timer after a suspension: long enough for the reactor to poll once and wake the tasks whose
+/// sockets are ready.
 const REACTOR_POLL_DELAY: Duration = Duration::from_millis(1);
 
 /// A command of the router to a request.
@@ -30,7 +31,7 @@
     },
     /// Respond that the request is rejected.
     Reject {
-        /// The delay after which the client should retry; `None` if clients are not told.
+        /// The delay after which the client should retry; `None` if clients are given none.
         retry_after: Option<TimeDelta>,
     },
     /// Respond that the request has failed.
@@ -44,7 +45,7 @@
     clock: Clock,
     counters: Rc<Counters>,
     router: RefCell<Router>,
-    /// Empty between events; kept so that its allocation is reused.
+    /// The buffer for the router's actions: empty between events, and kept so that its allocation is reused.
     actions: RefCell<Vec<Action>>,
     command_channels: RefCell<HashMap<RequestId, Sender<RequestCommand>>>,
     last_request_id: Cell<u64>,
--- a/crates/proxy/src/server/response.rs
+++ b/crates/proxy/src/server/response.rs
@@ -31,7 +31,7 @@
 }
 
 /// Reads one response. A response that was complete when the connection was closed is accepted. After a
-/// malformed response, as after none, the query may have run.
+/// malformed or missing response, the query may have run.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/socket_budget.rs
+++ b/crates/proxy/src/socket_budget.rs
@@ -3,7 +3,7 @@
 
 /// The upper limit of the descriptors that are reserved for the process itself.
 const MAX_RESERVE: usize = 40;
-/// The number of clients that can at least be rejected at the same time, if there are enough descriptors.
+/// The least number of clients that can be rejected at the same time, if there are enough descriptors.
 const MIN_REJECTED_CLIENTS: usize = 8;
 
 /// The limits on the numbers of connections.
--- a/crates/proxy/tests/config.rs
+++ b/crates/proxy/tests/config.rs
@@ -73,7 +73,10 @@
         decode(&document).map(|config| config.max_descriptors)
     };
     assert_eq!(max_descriptors(24).unwrap(), 24);
-    assert!(matches!(max_descriptors(23), Err(ConfigError::TooFewSockets { configured: 23, required: 24 })));
+    assert!(matches!(
+        max_descriptors(23),
+        Err(ConfigError::TooFewDescriptors { configured: 23, required: 24 })
+    ));
 }
 
 #[test]
