--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -166,8 +166,8 @@
         Some(self.waiting_since + COMMAND_TIMEOUT)
     }
 
-    /// Pauses the session. Meanwhile the connection can be evicted like that of a client without a request.
-    /// Returns false if the connection was evicted.
+    /// Pauses the session. During the pause the connection can be evicted like that of a client that has made
+    /// no request yet. Returns false if the connection was evicted.
     pub(super) async fn pause(&self, pause: Duration) -> bool {
         let timer = async {
             Timer::after(pause).await;
--- a/crates/proxy/src/client/connection_slots.rs
+++ b/crates/proxy/src/client/connection_slots.rs
@@ -263,7 +263,7 @@
             if !slots.is_awaiting_first_request_full() {
                 return Admission::Rejected;
             }
-            // Connections this young may belong to clients that are about to send.
+            // A connection that is too young for eviction may belong to a client that is about to send.
             slots.wait_for_change().await;
         }
     }
--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -13,9 +13,9 @@
 
 const USER: &str = "backend";
 const DATABASE: &str = "store";
-/// A Query message with an empty statement, which validates an idle connection before it carries a request. The
-/// server has to respond to the message and send nothing before or after the response: a connection may have
-/// been closed without notice, and a request written to it would be lost.
+/// A Query message with an empty statement, which validates an idle connection before it carries a request.
+/// The server has to respond to the message and send nothing before or after the response: a connection may
+/// have been closed without notice, and a request written to it would be lost.
 const EMPTY_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 /// The body of an AuthenticationOk message.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
--- a/crates/proxy/src/server/exchange.rs
+++ b/crates/proxy/src/server/exchange.rs
@@ -106,7 +106,7 @@
     if !pool.accepts_new_work(endpoint) {
         return Err(AttemptError::EndpointNotAccepting);
     }
-    // In the meantime the endpoint's data may have become too stale for a read.
+    // While the connection was being opened, the endpoint's data may have become too stale for a read.
     if !query.is_still_eligible() {
         pool.release(endpoint, connection);
         return Err(AttemptError::NoLongerEligible);
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -6,7 +6,7 @@
 /// How long new connections arrive after SIGTERM.
 const ARRIVAL_PERIOD: Duration = Duration::from_millis(400);
 /// The time that the last responses need, which includes a possible stall of the process.
-const PROCESS_STALL: Duration = Duration::from_millis(150);
+const LAST_RESPONSES_TIME: Duration = Duration::from_millis(150);
 
 #[test]
 fn the_stages_are_in_order_and_leave_time_for_the_last_responses() {
@@ -20,7 +20,7 @@
             "{ms}: {closing_idle:?} {not_accepting:?} {terminating:?}"
         );
         assert!(
-            terminating + PROCESS_STALL <= terminated,
+            terminating + LAST_RESPONSES_TIME <= terminated,
             "{ms}: last responses from {terminating:?} to {terminated:?}"
         );
         assert!(terminated <= ShutdownSchedule::earliest_kill(deadline), "{ms}: {terminated:?}");
