--- a/crates/operator-config/src/export.rs
+++ b/crates/operator-config/src/export.rs
@@ -15,8 +15,8 @@
 }
 
 impl ExportedValue {
-    /// The position of the field or item at `path`. Defaults have no position in the file; theirs is that of
-    /// the innermost record or list around them that has one.
+    /// The position of the field or item at `path`. A default has no position in the file; for a default this
+    /// is the position of the innermost record or list around it that has one.
     pub(crate) fn position(&self, path: &str) -> Position {
         let mut path = path;
         loop {
--- a/crates/operator-config/src/resolve.rs
+++ b/crates/operator-config/src/resolve.rs
@@ -48,8 +48,8 @@
         Self { definitions, origin }
     }
 
-    /// Resolves the top level of a file to a record, without definitions and hidden fields. The schema's is
-    /// closed.
+    /// Resolves the top level of a file to a record, without definitions and hidden fields. The record of the
+    /// schema is closed, that of the operator's file is not.
     pub(crate) fn top_level(&self, fields: &[Field]) -> Result<Value, Diagnostics> {
         let fields: Vec<&Field> = fields.iter().filter(|field| !field.is_definition()).collect();
         let position = fields.first().map_or(Position::WHOLE_FILE, |field| self.position(field.position));
--- a/crates/pooler/src/registry_discovery.rs
+++ b/crates/pooler/src/registry_discovery.rs
@@ -17,8 +17,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the process waits before it exits for the registry to confirm the deregistration. After the last
-/// responses the platform allows the process more time than this.
+/// The maximum time for which the process delays its exit until the registry confirms the deregistration.
+/// The platform allows the process more time than this after the last responses.
 const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Starts to watch a registry, and registers the pooler there if the settings configure a registration. The
@@ -53,7 +53,8 @@
     })
 }
 
-/// Starts the registrar if the pooler registers itself, and reports it as out of service once it drains.
+/// Starts the registrar if the pooler registers itself. The registrar reports the pooler as out of service
+/// once the pooler drains.
 fn start_registrar(
     pooler: &Pooler,
     config: &RegistryConfig,
--- a/crates/pooler/tests/soak/history.rs
+++ b/crates/pooler/tests/soak/history.rs
@@ -1,15 +1,16 @@
-//! The requests that clients sent and the statements that servers received, and the rules that the pooler
-//! must keep between them.
+//! The requests that clients sent, the statements that servers received, and the rules for both that the
+//! pooler must keep.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long after its drain was reported an endpoint may still receive requests.
+/// The time after the report of an endpoint's drain within which the endpoint may still receive requests.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// How long after its client closed the connection an attempt of a request may still reach a server.
+/// The time after a client closed its connection within which attempts of its requests may still reach a
+/// server.
 const CLOSE_GRACE: Duration = Duration::from_millis(100);
-/// By how much the deadline that an attempt passes to the server may exceed the remaining time of its
+/// The maximum excess of the deadline that an attempt passes to the server over the remaining time of the
 /// request.
 const REMAINING_TIME_TOLERANCE: Duration = Duration::from_millis(150);
 
--- a/crates/pooler/tests/soak/load_client.rs
+++ b/crates/pooler/tests/soak/load_client.rs
@@ -9,10 +9,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long after its deadline a request may still get its final response.
+/// The time after a request's deadline within which its final response is still accepted.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// A request that was sent no longer than this before its connection closed counts as sent during the close,
-/// not as lost, where the pooler may close connections.
+/// While the pooler may close connections (at its connection limit or after SIGTERM), a request without a
+/// response does not count as lost if its connection closed at most this time after the request was sent.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(60);
 /// The number of requests that a client writes at once when it pipelines.
 const PIPELINE_DEPTH: usize = 6;
--- a/crates/pooler/tests/sockets/deadlines.rs
+++ b/crates/pooler/tests/sockets/deadlines.rs
@@ -11,8 +11,8 @@
     let (mut pipelining, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
     pipelining.stream.write_bytes(&query_bytes([read_statement("1"), short_read("2")]));
     server.wait_for_statement();
-    // This request was sent later and has the same deadline: once that has passed, so has the pipelined
-    // request's.
+    // This request was sent after the pipelined one and has the same deadline of 300 ms. The deadline of the
+    // pipelined request has therefore passed once this request is rejected.
     assert_eq!(other.query(&short_read("3")).sql_state(), Some("53300"));
     gate.open();
     assert_eq!(pipelining.read_response().text(), Some("s-1"));
@@ -45,8 +45,8 @@
     let (mut client, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send_query(&read_statement("1"));
     pooler.wait_for_counter(" server_connections_opened=1 ");
-    // This request was sent later, and its deadline has passed: the first one has been waiting for at least
-    // 300 ms.
+    // This request was sent after the first one. Once its deadline has passed, the first one has been waiting
+    // for at least 300 ms.
     assert!(other.query(&with_deadline(&read_statement("2"), 300)).sql_state.is_some());
     gate.open();
     assert_eq!(client.read_response().text(), Some("s-1"));
@@ -67,7 +67,8 @@
     let mut client = Client::connect(&pooler);
     for (id, statement) in [("1", read_statement("1")), ("2", write_statement("2"))] {
         let response = client.query(&with_deadline(&statement, 200));
-        // Nothing was sent, so a retry is harmless (53300), unless the time for saying so is over (08007).
+        // Nothing was sent, so the request is rejected and may be retried (53300). Once it is too late for a
+        // rejection, the request fails (08007).
         let allowed = ["53300", "08007"];
         assert!(response.sql_state().is_some_and(|code| allowed.contains(&code)), "{id}: {response:?}");
     }
--- a/crates/pooler/tests/sockets/discovery.rs
+++ b/crates/pooler/tests/sockets/discovery.rs
@@ -22,8 +22,8 @@
         Some("s-9"),
         "the update sent before the end of the watch must be applied"
     );
-    // The second watch sends nothing at all, so the pooler gives it up and opens a third one. That one
-    // reports that the endpoint has a new address.
+    // The second watch sends nothing at all, so the pooler abandons it and opens a third watch. The third
+    // watch reports that the endpoint has a new address.
     let watch = discovery.accept_watch();
     let moved = FakeServer::new("s-9", |stream, _| {
         stream.write_row(b"moved", "replica", ANY_POSITION_MS);
--- a/crates/pooler/tests/sockets/freshness.rs
+++ b/crates/pooler/tests/sockets/freshness.rs
@@ -38,7 +38,8 @@
     let (mut client, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
     client.send_query(&read_statement("1").replace("bundle-menu", "my-recent"));
     pooler.wait_for_counter(" attempts=1 ");
-    // This request was sent later, and its deadline has passed: the report is more than 300 ms old by now.
+    // This request was sent after the first load report. Once its deadline has passed, the report is more
+    // than 300 ms old.
     assert!(other.query(&with_deadline(&read_statement("2"), 300)).sql_state.is_some());
     gate.open();
     assert_eq!(client.read_response().text(), Some("s-1"));
--- a/crates/pooler/tests/sockets/shutdown.rs
+++ b/crates/pooler/tests/sockets/shutdown.rs
@@ -12,7 +12,7 @@
     assert_eq!(client.query(&read_statement("1")).text(), Some("s-1"));
     pooler.signal(Signal::Terminate);
     assert!(client.is_closed(), "an idle connection must be closed");
-    // Stands for a request that was on its way when the pooler closed the connection.
+    // Simulates a request that was in transit when the pooler closed the connection.
     client.send_query(&read_statement("2"));
     client.half_close();
     assert!(pooler.wait().success());
@@ -102,7 +102,8 @@
 #[test]
 fn a_shutdown_rejects_a_request_whose_connect_does_not_complete() {
     let ShutdownDuringConnect { gate, server, mut pooler, mut client } = ShutdownDuringConnect::begin();
-    // The connect does not complete in time. The client is answered before the earliest kill, and may retry.
+    // The connect does not complete in time. The client gets its response before the earliest time at which
+    // the pooler may get SIGKILL, and may retry the request.
     assert_eq!(client.read_response().sql_state(), Some("53300"));
     assert!(client.is_closed_without_reset());
     drop(client);
--- a/crates/pooler/tests/sockets/writes.rs
+++ b/crates/pooler/tests/sockets/writes.rs
@@ -21,8 +21,8 @@
     let mut client = Client::connect(&pooler);
     assert_eq!(client.query(&write_statement("1")).text(), Some("done"));
     assert_eq!((replica.statements().len(), primary.statements().len()), (1, 1));
-    // The connection broke after the whole statement was written: it may have run, and the response must not
-    // deny that.
+    // The connection broke after the whole statement was written. The statement may have run, so the response
+    // must not be a rejection.
     let response = client.query(&write_statement("2"));
     assert_eq!((response.tags.as_str(), response.sql_state()), ("EZ", Some("08007")));
     assert_eq!(
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -16,7 +16,7 @@
 pub const DEFAULT_DEADLINE: Duration = Duration::from_millis(1_000);
 /// A response that arrives at most this long after the deadline still counts as in time.
 pub const DEADLINE_TOLERANCE: Duration = Duration::from_millis(50);
-/// How long after its deadline a client keeps waiting for the response before it gives up on the connection.
+/// The time after a request's deadline for which the client still waits before it abandons the connection.
 const READ_AFTER_DEADLINE: Duration = Duration::from_millis(100);
 /// The maximum age of the data that a read with bounded staleness returns.
 const STALENESS_BOUND_MS: i64 = 1_500;
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -97,7 +97,7 @@
         /// The position of the commit, in ms.
         position_ms: i64,
     },
-    /// The response answers a read from data up to a position.
+    /// The response returns the data of a read.
     Read {
         /// The position up to which the read had to see all commits, in ms.
         required_ms: i64,
