--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -104,7 +104,7 @@
     pub zone: String,
     /// The key of the role.
     pub role: String,
-    /// The key of the time of the last start, in ms since 1970.
+    /// The key of the time of the last start, in ms since 1970-01-01 UTC.
     pub started: String,
 }
 
--- a/crates/testbed/src/registry_benchmark.rs
+++ b/crates/testbed/src/registry_benchmark.rs
@@ -166,7 +166,7 @@
     (value * 1_000.0).round() / 1_000.0
 }
 
-/// By how many MB a size exceeds another, both given in KB; 0 if it is smaller.
+/// The excess of one size over another in MB, both given in KB; 0 if the first is smaller.
 fn difference_mb(kb: u64, baseline_kb: u64) -> f64 {
     to_3_decimals(kb.saturating_sub(baseline_kb) as f64 / 1_024.0)
 }
